--- a/crates/benchlink/src/decode.rs
+++ b/crates/benchlink/src/decode.rs
@@ -63,10 +63,10 @@
     Ok(ListedReplica {
         replica: servers.number_of(text(entry, "server")?),
         cell: count_u32(entry, "cell")?,
-        size: maybe(entry, "scale", number)?.unwrap_or(DEFAULT_SIZE),
+        relative_capacity: maybe(entry, "scale", number)?.unwrap_or(DEFAULT_SIZE),
         lifecycle: lifecycle(text(entry, "lifecycle")?),
         // A start of 0 is the wire's word for none.
-        started: maybe(entry, "launched", micros)?.filter(|at| at.0 != 0),
+        started_at: maybe(entry, "launched", micros)?.filter(|at| at.0 != 0),
     })
 }
 
@@ -74,7 +74,7 @@
 fn lifecycle(word: &str) -> Lifecycle {
     match word {
         "on" => Lifecycle::InService,
-        "off" => Lifecycle::Gone,
+        "off" => Lifecycle::Removed,
         _ => Lifecycle::Draining,
     }
 }
@@ -87,7 +87,7 @@
     let work_hint = maybe(line, "expected", micros)?;
     if let Ok(shard) = u32::try_from(range) {
         let weight = number(line, "amount")?;
-        return Ok(Event::Part { id, number: query_number, shard, weight, work_hint });
+        return Ok(Event::Part { id, query_number, shard, weight, work_hint });
     }
     let deployment = &instance.deployment;
     let tenant = line.get("customer").and_then(Value::as_str);
--- a/crates/node/src/clients/routes.rs
+++ b/crates/node/src/clients/routes.rs
@@ -4,7 +4,7 @@
 use super::ClientContext;
 use crate::config::Config;
 use crate::host::QueryRequest;
-use pinetrestle::interface::{Effect, Micros};
+use pinetrestle::interface::{Idempotency, Micros};
 use pinetrestle_protocol::query::{self, QueryError};
 use pinetrestle_protocol::requests::{AmbiguousField, Request};
 use pinetrestle_recorder::{query_key, QueryKey};
@@ -113,7 +113,7 @@
     // No query waits longer than its class allows, whatever the request says.
     let expires_in = expiry.min(class_settings.deadline) - Micros(received_at.elapsed().as_micros() as i64);
     let is_client_retry = request.field(&fields.retry)? == Some("1");
-    let needs_key = class_settings.effect == Effect::IdempotencyKeyed;
+    let needs_key = class_settings.idempotency == Idempotency::Keyed;
     let idempotency_key =
         query::idempotency_key(request.field(&fields.idempotency_key)?, needs_key)?.map(str::to_owned);
     Ok(QueryRequest {
--- a/crates/node/src/host/actions.rs
+++ b/crates/node/src/host/actions.rs
@@ -120,7 +120,7 @@
     fn prepare_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<PreparedAttempt> {
         let settings = &self.deployment.settings;
         let (query, part) = self.queries.query_and_part_mut(order.part)?;
-        let effect = settings.classes.get(query.class).map(|class| class.effect);
+        let effect = settings.classes.get(query.class).map(|class| class.idempotency);
         let retry_forbidden = effect.is_some_and(|effect| part.is_retry_forbidden(effect));
         if retry_forbidden {
             self.commands.push(Command::RetryForbidden(query.wire_id.clone()));
--- a/crates/node/src/host/admission.rs
+++ b/crates/node/src/host/admission.rs
@@ -49,7 +49,7 @@
         let id = self.next_free_id();
         self.events.push(Event::Part {
             id,
-            number: query.number,
+            query_number: query.number,
             shard: requested.shard,
             weight: requested.weight,
             work_hint: requested.work_us.map(Micros),
--- a/crates/node/src/host/endpoint_list.rs
+++ b/crates/node/src/host/endpoint_list.rs
@@ -63,11 +63,17 @@
         let lifecycle = lifecycle_of(entry.status);
         let replica = match self.by_name.get(&entry.name) {
             Some(replica) => *replica,
-            None if lifecycle == Lifecycle::Gone => return None,
+            None if lifecycle == Lifecycle::Removed => return None,
             None => self.register(&entry.name, entry.cell, entry.weight),
         };
         let started = self.start_time(replica, entry.start_time_ms);
-        let listed = ListedReplica { replica, cell: entry.cell, size: entry.weight, lifecycle, started };
+        let listed = ListedReplica {
+            replica,
+            cell: entry.cell,
+            relative_capacity: entry.weight,
+            lifecycle,
+            started_at: started,
+        };
         let known = self.replicas.get_mut(&replica)?;
         // A removal names no address: the last one stays, for what is still in flight.
         if !entry.address.is_empty() {
@@ -75,7 +81,7 @@
         }
         known.endpoint.started_unix_ms = entry.start_time_ms;
         let was = known.listed.lifecycle;
-        if lifecycle == Lifecycle::Gone {
+        if lifecycle == Lifecycle::Removed {
             changes.draining.extend(self.mark_gone(replica));
         } else if lifecycle == Lifecycle::Draining && was == Lifecycle::InService {
             changes.draining.push(replica);
@@ -93,7 +99,13 @@
         self.next_replica += 1;
         self.by_name.insert(name.to_owned(), replica);
         let endpoint = Endpoint { name: name.to_owned(), ..Endpoint::default() };
-        let listed = ListedReplica { replica, cell, size, lifecycle: Lifecycle::Gone, started: None };
+        let listed = ListedReplica {
+            replica,
+            cell,
+            relative_capacity: size,
+            lifecycle: Lifecycle::Removed,
+            started_at: None,
+        };
         self.replicas.insert(replica, KnownReplica { endpoint, listed, in_flight: 0, departure: 0 });
         replica
     }
@@ -102,7 +114,7 @@
     /// learned of the clocks since.
     fn start_time(&self, replica: ReplicaId, started_unix_ms: i64) -> Option<Micros> {
         match self.replicas.get(&replica) {
-            Some(known) if known.endpoint.started_unix_ms == started_unix_ms => known.listed.started,
+            Some(known) if known.endpoint.started_unix_ms == started_unix_ms => known.listed.started_at,
             _ => self.start_times.to_host_clock(started_unix_ms),
         }
     }
@@ -119,10 +131,10 @@
     /// Marks a replica as gone; none if it was already.
     fn mark_gone(&mut self, replica: ReplicaId) -> Option<ReplicaId> {
         let known = self.replicas.get_mut(&replica)?;
-        if known.listed.lifecycle == Lifecycle::Gone {
+        if known.listed.lifecycle == Lifecycle::Removed {
             return None;
         }
-        known.listed.lifecycle = Lifecycle::Gone;
+        known.listed.lifecycle = Lifecycle::Removed;
         self.departures += 1;
         known.departure = self.departures;
         Some(replica)
@@ -134,7 +146,7 @@
         let mut gone: Vec<ReplicaId> = self
             .replicas
             .iter()
-            .filter(|(_, known)| known.listed.lifecycle == Lifecycle::Gone)
+            .filter(|(_, known)| known.listed.lifecycle == Lifecycle::Removed)
             .map(|(replica, _)| *replica)
             .collect();
         let listed = self.replicas.len() - gone.len();
@@ -170,7 +182,7 @@
     /// When the replica of this name last started, by the host's clock, as far as that is known.
     pub(super) fn started_at(&self, name: &str) -> Option<Micros> {
         let replica = self.by_name.get(name)?;
-        self.replicas.get(replica)?.listed.started
+        self.replicas.get(replica)?.listed.started_at
     }
 
     /// A replica's endpoint, as long as it is remembered.
@@ -207,6 +219,6 @@
     match status {
         Status::Up => Lifecycle::InService,
         Status::Draining => Lifecycle::Draining,
-        Status::Removed => Lifecycle::Gone,
+        Status::Removed => Lifecycle::Removed,
     }
 }
--- a/crates/node/src/host/query_table.rs
+++ b/crates/node/src/host/query_table.rs
@@ -3,7 +3,7 @@
 use super::interface::TableSize;
 use super::recent_ids::RecentIds;
 use crate::counters::{Counter, Counters, RetryCounters};
-use pinetrestle::interface::{Effect, Id, Micros, Outcome};
+use pinetrestle::interface::{Id, Idempotency, Micros, Outcome};
 use pinetrestle_protocol::frames::Score;
 use pinetrestle_wheel::TimerKey;
 use std::collections::HashMap;
@@ -104,8 +104,8 @@
     }
 
     /// Whether another attempt could run a non-idempotent part a second time.
-    pub(super) fn is_retry_forbidden(&self, effect: Effect) -> bool {
-        effect == Effect::NonIdempotent && (self.in_flight > 0 || self.may_have_run)
+    pub(super) fn is_retry_forbidden(&self, effect: Idempotency) -> bool {
+        effect == Idempotency::NonIdempotent && (self.in_flight > 0 || self.may_have_run)
     }
 
     /// Enters one more attempt, counts it, and returns its number from 0.
--- a/crates/node/src/host/recent_ids.rs
+++ b/crates/node/src/host/recent_ids.rs
@@ -24,7 +24,7 @@
         let age = now - self.current_since;
         if age >= span || self.current.len() >= MAX_PER_GENERATION {
             self.previous = std::mem::take(&mut self.current);
-            if age >= span.times(2.0) {
+            if age >= span.mul_f64(2.0) {
                 self.previous.clear();
             }
             self.current_since = now;
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -285,6 +285,6 @@
 }
 
 fn new_watches(config: &Config) -> WatchSupervisor<SocketAddr> {
-    let pushed = !config.deployment.settings.must_poll;
+    let pushed = !config.deployment.settings.poll_endpoint_list;
     WatchSupervisor::new(pushed, config.discovery, config.initial_list.version)
 }
--- a/crates/node/tests/list_change_latency/simulation.rs
+++ b/crates/node/tests/list_change_latency/simulation.rs
@@ -146,7 +146,7 @@
             settings["discovery"] = json!(if pushed { "push" } else { "ask" });
             settings["fleet_size"] = json!(fleet_size);
         });
-        assert_eq!(config.deployment.settings.must_poll, !pushed);
+        assert_eq!(config.deployment.settings.poll_endpoint_list, !pushed);
         let counters = Rc::new(Counters::new(&config.deployment.classes));
         let deployment = Rc::new(config.deployment.clone());
         let mut host = Host::new(deployment, counters, seed, Micros(0));
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -4,7 +4,7 @@
     count, count_u32, field, flag, list, maybe, micros, number, text, FieldError, Parsed, Problem,
 };
 use crate::{Deployment, Transport};
-use pinetrestle::interface::{Class, Effect, Limits, Micros, RetryBudget, Rules, Settings, Tenant};
+use pinetrestle::interface::{Class, Idempotency, Limits, Micros, RetryBudget, Rules, Settings, Tenant};
 use serde_json::Value;
 
 /// The `effect` of a class whose attempts may be retried freely; any other word reads as not idempotent.
@@ -42,11 +42,11 @@
 }
 
 /// The wire's word for a class's effect, in the core's terms.
-fn effect(word: &str) -> Effect {
+fn effect(word: &str) -> Idempotency {
     match word {
-        EFFECT_RETRYABLE => Effect::Idempotent,
-        EFFECT_DEDUP => Effect::IdempotencyKeyed,
-        _ => Effect::NonIdempotent,
+        EFFECT_RETRYABLE => Idempotency::Idempotent,
+        EFFECT_DEDUP => Idempotency::Keyed,
+        _ => Idempotency::NonIdempotent,
     }
 }
 
@@ -57,15 +57,17 @@
     let in_class = |error: FieldError| error.within(&format!("classes[{index}]"));
     Ok(Class {
         latency_objective: micros(class, "aim").map_err(in_class)?,
-        objective_stretch: maybe(class, "aim_stretch", number).map_err(in_class)?.unwrap_or(ABSENT_NUMBER),
+        objective_work_factor: maybe(class, "aim_stretch", number)
+            .map_err(in_class)?
+            .unwrap_or(ABSENT_NUMBER),
         deadline: micros(class, "hard_limit").map_err(in_class)?,
         priority_weight: number(class, "gain").map_err(in_class)?,
         late_weight_share: number(class, "late_worth").map_err(in_class)?,
-        effect: effect(text(class, "effect").map_err(in_class)?),
+        idempotency: effect(text(class, "effect").map_err(in_class)?),
         idempotency_window: micros(class, "dedup_window").map_err(in_class)?,
         complete_share: per_class("need_by_class")?,
-        partial_floor: per_class("class_floor")?,
-        partial_value: per_class("partial_earns")?,
+        partial_min_share: per_class("class_floor")?,
+        partial_weight_share: per_class("partial_earns")?,
         second_step_parts: per_class("second_step")? as u32,
     })
 }
@@ -103,7 +105,7 @@
         warm_up_time: micros(rules, "warm_within")?,
         overload_multiple: number(rules, "tip_multiple")?,
         overload_window: micros(rules, "fall")?,
-        poll_within: maybe(rules, "must_ask_in", micros)?.unwrap_or_default(),
+        max_list_staleness: maybe(rules, "must_ask_in", micros)?.unwrap_or_default(),
         retry_budget,
     })
 }
@@ -168,9 +170,9 @@
         tenants: tenants.collect::<Parsed<_>>()?,
         over_quota_weight_share: maybe(options, "over_share_worth", number)?
             .unwrap_or(DEFAULT_OVER_QUOTA_WEIGHT_SHARE),
-        waste_price: read_optional_in(options, "fees", "waste", number)?.unwrap_or(ABSENT_NUMBER),
-        marks_retries: marks_retries.unwrap_or(false),
-        must_poll: text(options, "discovery")? != DISCOVERY_PUSH,
+        wasted_work_cost: read_optional_in(options, "fees", "waste", number)?.unwrap_or(ABSENT_NUMBER),
+        clients_mark_retries: marks_retries.unwrap_or(false),
+        poll_endpoint_list: text(options, "discovery")? != DISCOVERY_PUSH,
         cell_count,
         cells_per_shard,
         tick: Micros(count(options, "quantum")? as i64),
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -1,7 +1,7 @@
 //! Reading settings as the operators' wire page names them, or as a deployment's key aliases spell them,
 //! and errors that name the failing key by its whole path.
 
-use pinetrestle::interface::{Effect, Micros};
+use pinetrestle::interface::{Idempotency, Micros};
 use pinetrestle_settings::fields::{count, field, maybe, text, Expected, FieldError, Parsed, Problem};
 use pinetrestle_settings::{Deployment, KeyAliases};
 use pinetrestle_standins::with_setting_aliases;
@@ -33,15 +33,19 @@
     let found = pinetrestle_settings::read(&options()).expect("good settings");
     let set = &found.settings;
     assert_eq!((set.fleet_size, set.cell_count, set.cells_per_shard, set.limits.max_batch), (3, 6, 2, 16));
-    assert!(!set.must_poll && set.marks_retries && !set.limits.allow_hedging);
+    assert!(!set.poll_endpoint_list && set.clients_mark_retries && !set.limits.allow_hedging);
     assert_eq!(set.tick, Micros(5000));
     assert_eq!(
-        (set.classes[0].effect, set.classes[0].idempotency_window),
-        (Effect::IdempotencyKeyed, Micros(700_000))
+        (set.classes[0].idempotency, set.classes[0].idempotency_window),
+        (Idempotency::Keyed, Micros(700_000))
     );
-    assert_eq!((set.classes[0].objective_stretch, set.classes[0].complete_share), (1.5, 0.75));
-    assert_eq!(set.classes[1].effect, Effect::NonIdempotent, "an effect that is not known is not repeated");
-    assert_eq!((set.classes[1].second_step_parts, set.classes[1].partial_value), (3, 0.8));
+    assert_eq!((set.classes[0].objective_work_factor, set.classes[0].complete_share), (1.5, 0.75));
+    assert_eq!(
+        set.classes[1].idempotency,
+        Idempotency::NonIdempotent,
+        "an effect that is not known is not repeated"
+    );
+    assert_eq!((set.classes[1].second_step_parts, set.classes[1].partial_weight_share), (3, 0.8));
     assert_eq!(set.tenants[1].quota_per_s, 2.5);
     let budget = set.rules.retry_budget.expect("a budget");
     assert_eq!((budget.window, budget.min_retries, budget.retry_ratio), (Micros(5_000_000), 20.0, 0.2));
@@ -65,8 +69,8 @@
         options[group].as_object_mut().expect("an object").remove(key);
     }
     let found = pinetrestle_settings::read(&options).expect("good settings");
-    assert!(!found.settings.marks_retries && found.settings.rules.retry_budget.is_none());
-    assert_eq!((found.settings.waste_price, found.settings.over_quota_weight_share), (0.0, 1.0));
+    assert!(!found.settings.clients_mark_retries && found.settings.rules.retry_budget.is_none());
+    assert_eq!((found.settings.wasted_work_cost, found.settings.over_quota_weight_share), (0.0, 1.0));
     assert_eq!((found.transport.shards, found.transport.streams_per_conn), (None, None));
 }
 
--- a/src/front_node/admission.rs
+++ b/src/front_node/admission.rs
@@ -50,7 +50,7 @@
         let mut strain = 0.0_f64;
         for (number, class) in self.settings.classes.iter().enumerate() {
             let latency = recent(ClassStep::first(number)) + recent(ClassStep::second(number));
-            strain = strain.max(latency.over(class.latency_objective));
+            strain = strain.max(latency.ratio_to(class.latency_objective));
         }
         strain.max((SHED_FROM_STRAIN * fullness).min(FULLNESS_CAP * strain))
     }
@@ -96,13 +96,13 @@
     /// Whether the query can be done before it is given up. Those that can't are mostly tries repeated late.
     fn has_time_left(&self, query: &Query) -> bool {
         let class = &self.settings.classes[query.class];
-        let first = self.typical_latency(ClassStep::first(query.class)).times(MIN_QUERY_TIME);
+        let first = self.typical_latency(ClassStep::first(query.class)).mul_f64(MIN_QUERY_TIME);
         let second = if class.has_second_step() {
             self.typical_latency(ClassStep::second(query.class))
         } else {
             Micros(0)
         };
-        let needed = (first + second).min(class.latency_objective.times(MIN_QUERY_TIME_SHARE));
+        let needed = (first + second).min(class.latency_objective.mul_f64(MIN_QUERY_TIME_SHARE));
         self.stop_at(query) - self.now >= needed
     }
 
@@ -113,7 +113,7 @@
         let free = |replica: &Replica| replica.in_service() && self.has_free_capacity(replica);
         let reachable = query.parts.iter().filter(|part| self.holders(part.shard).any(|(_, r)| free(r)));
         let weight: f64 = reachable.map(|part| part.weight).sum();
-        let floor = self.settings.classes[query.class].partial_floor;
+        let floor = self.settings.classes[query.class].partial_min_share;
         weight > floor - EPSILON || !self.replicas.values().any(|replica| replica.in_service())
     }
 
--- a/src/front_node/attempts.rs
+++ b/src/front_node/attempts.rs
@@ -43,7 +43,7 @@
         let ratio = self.ratio_to_typical(ended, latency);
         let class = &self.settings.classes[ended.class_step.class];
         let steps = if class.has_second_step() { 2.0 } else { 1.0 };
-        let allowance = class.latency_objective.over(SECOND) / steps;
+        let allowance = class.latency_objective.ratio_to(SECOND) / steps;
         let Some(known) = self.replicas.get(&ended.replica) else { return };
         let previous_ratio = self.latency_ratio(known);
         let Some(replica) = self.replicas.get_mut(&ended.replica) else { return };
@@ -54,7 +54,7 @@
         replica.sustained_concurrency.add(self.now, CONCURRENCY_HALF_LIFE, allowance);
         self.sustained_concurrency.add(self.now, CONCURRENCY_HALF_LIFE, allowance);
         let stats = &mut self.latency_stats[ended.class_step.index()];
-        let work = stats.p25.unwrap_or(latency).over(SECOND);
+        let work = stats.p25.unwrap_or(latency).ratio_to(SECOND);
         self.answered_work.add(self.now, COUNTER_HALF_LIFE, work);
         push_bounded(&mut stats.samples, LatencySample { at: self.now, latency }, MAX_SAMPLES);
     }
@@ -70,7 +70,7 @@
         let previous_ratio = self.latency_ratio(known);
         let Some(replica) = self.replicas.get_mut(&ended.replica) else { return };
         let recent = replica.failure_holds.len().min(FAILURE_HOLD_STEPS) as f64;
-        let until = self.now + hold.times(1.0 + FAILURE_HOLD_GROWTH * recent);
+        let until = self.now + hold.mul_f64(1.0 + FAILURE_HOLD_GROWTH * recent);
         replica.failure_holds.push(until);
         replica.consecutive_failures += 1;
         if raises_ratio {
@@ -80,7 +80,7 @@
     }
 
     fn ratio_to_typical(&self, ended: &InFlightAttempt, elapsed: Micros) -> f64 {
-        elapsed.over(self.typical_latency(ended.class_step)).min(LATENCY_RATIO_CAP)
+        elapsed.ratio_to(self.typical_latency(ended.class_step)).min(LATENCY_RATIO_CAP)
     }
 
     fn end_attempt_of_part(&mut self, id: AttemptId, ended: &InFlightAttempt, outcome: Outcome) {
--- a/src/front_node/dispatch.rs
+++ b/src/front_node/dispatch.rs
@@ -228,7 +228,7 @@
         if self.settings.limits.allow_hedging && self.settings.limits.allow_cancel {
             return left;
         }
-        self.overdue_after(query.class_step()).times(TIMEOUT_MULTIPLE).min(left)
+        self.overdue_after(query.class_step()).mul_f64(TIMEOUT_MULTIPLE).min(left)
     }
 
     fn count_sent(&mut self, retry: bool) {
--- a/src/front_node/endpoint_list.rs
+++ b/src/front_node/endpoint_list.rs
@@ -12,7 +12,7 @@
     pub(super) fn on_endpoint_list(&mut self, entries: &[ListedReplica], cached: bool) {
         let listed: Vec<ReplicaId> = entries.iter().map(|entry| entry.replica).collect();
         for (_, replica) in self.replicas.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-            replica.lifecycle = Lifecycle::Gone;
+            replica.lifecycle = Lifecycle::Removed;
         }
         if !cached {
             self.confirm_watch();
@@ -34,9 +34,9 @@
         watch.requested_at = None;
         // Unconfirmed, so that the idle timer runs and requests the list even where no query comes.
         watch.confirmed = false;
-        watch.next_poll_at = self.now + watch.backoff.times(0.5 + self.random.next());
-        let most = self.settings.rules.poll_within.min(NOTIFIED_AFTER).times(MAX_POLL_BACKOFF_SHARE);
-        watch.backoff = watch.backoff.times(POLL_BACKOFF_GROWTH).min(most);
+        watch.next_poll_at = self.now + watch.backoff.mul_f64(0.5 + self.random.next());
+        let most = self.settings.rules.max_list_staleness.min(NOTIFIED_AFTER).mul_f64(MAX_POLL_BACKOFF_SHARE);
+        watch.backoff = watch.backoff.mul_f64(POLL_BACKOFF_GROWTH).min(most);
         self.log("endpoint list watch lost, polling again".to_owned());
     }
 
@@ -44,10 +44,10 @@
     /// fails or the request is not answered: without a watch, changes not seen here would soon count as
     /// notified.
     pub(super) fn request_endpoint_list(&mut self) {
-        if !self.settings.must_poll || self.now < self.endpoint_watch.next_poll_at {
+        if !self.settings.poll_endpoint_list || self.now < self.endpoint_watch.next_poll_at {
             return;
         }
-        let timeout = self.settings.rules.poll_within.times(POLL_TIMEOUT_SHARE);
+        let timeout = self.settings.rules.max_list_staleness.mul_f64(POLL_TIMEOUT_SHARE);
         let watch = &mut self.endpoint_watch;
         let unanswered = |requested_at| !watch.confirmed && self.now - requested_at > timeout;
         if watch.requested_at.is_none_or(unanswered) {
@@ -76,20 +76,20 @@
         let now = self.now;
         // Drawn for every entry, used or not: the sequence of draws doesn't depend on what is known.
         let spacing_phase = self.random.next();
-        let new = || Replica::new(entry.started, spacing_phase);
+        let new = || Replica::new(entry.started_at, spacing_phase);
         let replica = self.replicas.entry(entry.replica).or_insert_with(new);
-        if entry.started.is_some() && entry.started != replica.started {
-            restart(replica, entry.started, spacing_phase, now);
+        if entry.started_at.is_some() && entry.started_at != replica.started_at {
+            restart(replica, entry.started_at, spacing_phase, now);
         }
         replica.cell = entry.cell;
-        replica.size = entry.size;
+        replica.relative_capacity = entry.relative_capacity;
         replica.lifecycle = entry.lifecycle;
     }
 
     fn index_replicas_by_cell(&mut self) {
         let cell_count = self.settings.cell_count.max(1);
         self.replicas_by_cell.clear();
-        for (id, replica) in self.replicas.iter().filter(|(_, r)| r.lifecycle != Lifecycle::Gone) {
+        for (id, replica) in self.replicas.iter().filter(|(_, r)| r.lifecycle != Lifecycle::Removed) {
             self.replicas_by_cell.entry(replica.cell % cell_count).or_default().push(*id);
         }
     }
@@ -100,6 +100,6 @@
     replica.failure_holds.clear();
     replica.latency_ratio = 1.0;
     replica.last_answer_at = now;
-    replica.started = started;
+    replica.started_at = started;
     replica.spacing_phase = spacing_phase;
 }
--- a/src/front_node/events.rs
+++ b/src/front_node/events.rs
@@ -26,8 +26,8 @@
             Event::Query { id, number, class, tenant, expires_in, work_hint, retry } => {
                 self.on_query(ArrivedQuery { id, number, class, tenant, expires_in, work_hint, retry });
             }
-            Event::Part { id, number, shard, weight, work_hint: _ } => {
-                self.on_part(number, Part { id, shard, weight, ..Part::default() });
+            Event::Part { id, query_number, shard, weight, work_hint: _ } => {
+                self.on_part(query_number, Part { id, shard, weight, ..Part::default() });
             }
             Event::AttemptEnded { part, attempt, outcome, elapsed } => {
                 self.on_attempt_ended(AttemptId { part, attempt }, outcome, elapsed);
@@ -45,7 +45,7 @@
             self.actions.push(Action::Reject { query: arrived.id, retry_after: None });
             return;
         };
-        let stretch = arrived.work_hint.unwrap_or_default().times(class.objective_stretch);
+        let stretch = arrived.work_hint.unwrap_or_default().mul_f64(class.objective_work_factor);
         let objective = (class.latency_objective + stretch).min(class.deadline);
         let waited = self.time_waited_before(&arrived);
         let query = Query {
@@ -56,7 +56,7 @@
             arrived_at: self.now,
             objective_at: self.now + (objective - waited),
             deadline_at: self.now + arrived.expires_in,
-            marked_retry: self.settings.marks_retries && arrived.retry,
+            marked_retry: self.settings.clients_mark_retries && arrived.retry,
             step: 1,
             ..Query::default()
         };
@@ -72,10 +72,10 @@
     /// become short.
     fn time_waited_before(&mut self, arrived: &ArrivedQuery) -> Micros {
         let tries = &mut self.client_tries[arrived.class];
-        let full = arrived.expires_in.over(tries.longest) > FULL_TRY_SHARE;
+        let full = arrived.expires_in.ratio_to(tries.longest) > FULL_TRY_SHARE;
         tries.consecutive_short = if full { 0 } else { tries.consecutive_short + 1 };
         tries.longest = tries.longest.max(arrived.expires_in);
-        let retry = if self.settings.marks_retries {
+        let retry = if self.settings.clients_mark_retries {
             arrived.retry
         } else {
             tries.consecutive_short < UNMARKED_RETRIES
--- a/src/front_node/latency.rs
+++ b/src/front_node/latency.rs
@@ -25,7 +25,7 @@
         let any_median = || self.latency_stats.iter().find_map(|stats| stats.p50);
         let median = self.stats(class_step).p50.or_else(any_median);
         let objective = self.settings.classes[class_step.class].latency_objective;
-        median.unwrap_or(objective.times(INITIAL_LATENCY_SHARE))
+        median.unwrap_or(objective.mul_f64(INITIAL_LATENCY_SHARE))
     }
 
     /// Recomputes the quantiles from the samples.
--- a/src/front_node/lifecycle.rs
+++ b/src/front_node/lifecycle.rs
@@ -3,7 +3,7 @@
 use super::query_of_death::CrashCaution;
 use super::tuning::{EPSILON, MAX_SETTLE_SHARE, SETTLE_DELAY, STOP_MARGIN_TICKS};
 use super::FrontNode;
-use crate::interface::{Action, Effect, Micros};
+use crate::interface::{Action, Idempotency, Micros};
 use crate::state::{AttemptId, ClassStep, Part, Query};
 
 impl FrontNode {
@@ -74,7 +74,7 @@
         let open = |part: &Part| part.attempts.len() < max_attempts || part.has_attempt_in_flight();
         let reachable = query.step_parts().filter(|part| part.answered || open(part));
         let weight: f64 = reachable.map(|part| part.weight).sum();
-        let floor = if query.step == 1 { self.settings.classes[query.class].partial_floor } else { 1.0 };
+        let floor = if query.step == 1 { self.settings.classes[query.class].partial_min_share } else { 1.0 };
         weight >= floor - EPSILON
     }
 
@@ -83,15 +83,15 @@
     /// that may serve nothing, in each step to come).
     pub(super) fn stop_at(&self, query: &Query) -> Micros {
         let class = &self.settings.classes[query.class];
-        let partial = if class.partial_floor < class.complete_share {
-            class.partial_value * class.partial_floor / class.complete_share
+        let partial = if class.partial_min_share < class.complete_share {
+            class.partial_weight_share * class.partial_min_share / class.complete_share
         } else {
             0.0
         };
         let steps = if query.step == 1 && class.has_second_step() { 2.0 } else { 1.0 };
-        let late_pays = class.late_weight_share > partial.max(self.settings.waste_price * steps);
+        let late_pays = class.late_weight_share > partial.max(self.settings.wasted_work_cost * steps);
         let end = if late_pays { query.deadline_at } else { query.deadline_at.min(query.objective_at) };
-        end - self.settings.tick.times(STOP_MARGIN_TICKS)
+        end - self.settings.tick.mul_f64(STOP_MARGIN_TICKS)
     }
 
     /// Whether the query waits for things to settle, in which case a timer is set.
@@ -103,7 +103,7 @@
         let in_silence = !query.admitted && self.silence.until > Micros(0);
         let silence_end = if in_silence {
             let latest =
-                query.arrived_at + self.latest_hedge(ClassStep::first(query.class)).times(MAX_SETTLE_SHARE);
+                query.arrived_at + self.latest_hedge(ClassStep::first(query.class)).mul_f64(MAX_SETTLE_SHARE);
             (self.silence.until + SETTLE_DELAY).min(latest)
         } else {
             Micros(0)
@@ -143,7 +143,7 @@
     /// answered, a rejection where a retry by the client does no harm, else a failure. Always false: the
     /// query has ended.
     fn give_up(&mut self, query: &Query) -> bool {
-        let harmless = self.settings.classes[query.class].effect == Effect::Idempotent;
+        let harmless = self.settings.classes[query.class].idempotency == Idempotency::Idempotent;
         let action = if self.may_answer_partially(query) {
             Action::Answer { query: query.id, complete: false }
         } else if harmless || query.surely_never_ran() {
@@ -160,13 +160,13 @@
         let class = &self.settings.classes[query.class];
         let last_step = query.step == 2 || !class.has_second_step();
         let answered = query.answered_weight();
-        let allowed = class.partial_floor < class.complete_share && last_step;
-        allowed && answered > class.partial_floor - EPSILON && answered > 0.0
+        let allowed = class.partial_min_share < class.complete_share && last_step;
+        allowed && answered > class.partial_min_share - EPSILON && answered > 0.0
     }
 
     /// A Retry-After between half of the longest one and all of it, where clients are given one.
     fn draw_retry_after(&mut self) -> Option<Micros> {
         let limits = &self.settings.limits;
-        limits.send_retry_after.then(|| limits.max_retry_after.times(0.5 + 0.5 * self.random.next()))
+        limits.send_retry_after.then(|| limits.max_retry_after.mul_f64(0.5 + 0.5 * self.random.next()))
     }
 }
--- a/src/front_node/mod.rs
+++ b/src/front_node/mod.rs
@@ -116,7 +116,7 @@
             latency_stats: (0..ClassStep::count(classes)).map(|_| LatencyStats::default()).collect(),
             client_tries: vec![ClientTries::default(); classes],
             tenant_queries: vec![DecayingCounter::default(); settings.tenants.len()],
-            budget_retention: budget_window.times(RETAINED_BUDGET_WINDOWS),
+            budget_retention: budget_window.mul_f64(RETAINED_BUDGET_WINDOWS),
             settings,
             ..FrontNode::default()
         };
@@ -150,11 +150,11 @@
     fn schedule_first_poll(&mut self) {
         self.endpoint_watch.backoff = INITIAL_POLL_BACKOFF;
         // Where no time is stated within which the list must be polled, waits still need a bound.
-        let default = INITIAL_POLL_BACKOFF.times(DEFAULT_POLL_WITHIN_MULTIPLE);
-        self.settings.rules.poll_within = self.settings.rules.poll_within.max(default);
-        let spread = INITIAL_POLL_BACKOFF.times(FIRST_POLL_SPREAD * f64::from(self.settings.fleet_size));
-        let most = self.settings.rules.poll_within.times(MAX_FIRST_POLL_SHARE);
-        self.endpoint_watch.next_poll_at = self.now + spread.min(most).times(self.random.next());
+        let default = INITIAL_POLL_BACKOFF.mul_f64(DEFAULT_POLL_WITHIN_MULTIPLE);
+        self.settings.rules.max_list_staleness = self.settings.rules.max_list_staleness.max(default);
+        let spread = INITIAL_POLL_BACKOFF.mul_f64(FIRST_POLL_SPREAD * f64::from(self.settings.fleet_size));
+        let most = self.settings.rules.max_list_staleness.mul_f64(MAX_FIRST_POLL_SHARE);
+        self.endpoint_watch.next_poll_at = self.now + spread.min(most).mul_f64(self.random.next());
     }
 
     /// Takes every query, in the order of their numbers, as far as it goes now.
@@ -170,7 +170,7 @@
 
     /// Sets a timer while there is something to look after: an open query, or an endpoint list to poll.
     fn set_idle_timer(&mut self) {
-        let list_missing = self.settings.must_poll && !self.endpoint_watch.confirmed;
+        let list_missing = self.settings.poll_endpoint_list && !self.endpoint_watch.confirmed;
         if (list_missing || !self.queries.is_empty()) && self.idle_wake_at.is_none() {
             self.idle_wake_at = Some(self.now + IDLE_WAKE);
             self.actions.push(Action::SetTimer(IDLE_WAKE));
--- a/src/front_node/outliers.rs
+++ b/src/front_node/outliers.rs
@@ -31,7 +31,7 @@
 
     fn update_mean_work_rate(&mut self) {
         let in_service = self.replicas.values().filter(|replica| replica.in_service());
-        let size: f64 = in_service.map(|replica| replica.size).sum();
+        let size: f64 = in_service.map(|replica| replica.relative_capacity).sum();
         self.mean_work_rate = self.answered_work.per_second(self.now, COUNTER_HALF_LIFE) / size.max(EPSILON);
     }
 
@@ -50,8 +50,8 @@
         let warm_up_time = self.settings.rules.warm_up_time;
         self.replicas.retain(|_, replica| {
             replica.failure_holds.retain(|until| *until > now);
-            let warming_up = replica.started.is_some_and(|started| now - started < warm_up_time);
-            replica.lifecycle != Lifecycle::Gone
+            let warming_up = replica.started_at.is_some_and(|started| now - started < warm_up_time);
+            replica.lifecycle != Lifecycle::Removed
                 || replica.in_flight > 0
                 || warming_up
                 || !replica.failure_holds.is_empty()
@@ -60,7 +60,7 @@
 
     fn update_revisit_interval(&mut self, in_service: usize) {
         let calls_per_second = self.calls.per_second(self.now, COUNTER_HALF_LIFE).max(EPSILON);
-        self.revisit_interval = SECOND.times(in_service as f64 / calls_per_second).min(COUNTER_HALF_LIFE);
+        self.revisit_interval = SECOND.mul_f64(in_service as f64 / calls_per_second).min(COUNTER_HALF_LIFE);
     }
 
     /// A replica that has answered nothing for longer than an attempt takes until it is overdue gets the
@@ -73,7 +73,7 @@
                 continue;
             };
             if silence > self.overdue_after(attempt.class_step) {
-                let ratio = silence.over(self.typical_latency(attempt.class_step)).min(LATENCY_RATIO_CAP);
+                let ratio = silence.ratio_to(self.typical_latency(attempt.class_step)).min(LATENCY_RATIO_CAP);
                 ratios[place].ratio = ratios[place].ratio.max(ratio);
             }
         }
--- a/src/front_node/overdue.rs
+++ b/src/front_node/overdue.rs
@@ -10,15 +10,15 @@
     pub(super) fn latest_hedge(&self, class_step: ClassStep) -> Micros {
         let class = &self.settings.classes[class_step.class];
         let share = if class.has_second_step() { OVERDUE_SHARE / 2.0 } else { OVERDUE_SHARE };
-        class.latency_objective.times(share)
+        class.latency_objective.mul_f64(share)
     }
 
     /// The age at which an attempt is overdue; later while shedding load, as hedged requests add to it.
     pub(super) fn overdue_after(&self, class_step: ClassStep) -> Micros {
-        let least = self.typical_latency(class_step).times(OVERDUE_MULTIPLE);
+        let least = self.typical_latency(class_step).mul_f64(OVERDUE_MULTIPLE);
         let most = self.latest_hedge(class_step);
         let strained = if self.in_flight_limit.is_some() { least + least } else { least };
-        let late = self.stats(class_step).p95.unwrap_or_default().times(OVERDUE_P95_MULTIPLE);
+        let late = self.stats(class_step).p95.unwrap_or_default().mul_f64(OVERDUE_P95_MULTIPLE);
         least.max(strained.max(late).min(most))
     }
 
@@ -27,8 +27,8 @@
     /// that has restarted or is gone.
     pub(super) fn is_overdue(&self, attempt: &InFlightAttempt) -> bool {
         let Some(replica) = self.replicas.get(&attempt.replica) else { return true };
-        let restarted = replica.started.is_some_and(|started| started > attempt.sent_at);
-        if restarted || replica.lifecycle == Lifecycle::Gone {
+        let restarted = replica.started_at.is_some_and(|started| started > attempt.sent_at);
+        if restarted || replica.lifecycle == Lifecycle::Removed {
             return true;
         }
         let age = self.elapsed_without_silence(attempt.sent_at);
--- a/src/front_node/query_of_death.rs
+++ b/src/front_node/query_of_death.rs
@@ -40,7 +40,7 @@
 
     /// Whether an attempt of the query was sent so lately that its answer is worth waiting for.
     pub(super) fn has_young_attempt(&self, query: &Query) -> bool {
-        let young = self.typical_latency(ClassStep::first(query.class)).times(MIN_QUERY_TIME);
+        let young = self.typical_latency(ClassStep::first(query.class)).mul_f64(MIN_QUERY_TIME);
         let mut attempts = self.in_flight.values().filter(|attempt| attempt.query == query.number);
         attempts.any(|attempt| self.now - attempt.sent_at < young)
     }
@@ -55,6 +55,6 @@
 
     fn has_time_for_caution(&self, query: &Query) -> bool {
         let typical = self.typical_latency(ClassStep::first(query.class));
-        query.objective_at - self.now > typical.times(OVERDUE_MULTIPLE)
+        query.objective_at - self.now > typical.mul_f64(OVERDUE_MULTIPLE)
     }
 }
--- a/src/front_node/retry.rs
+++ b/src/front_node/retry.rs
@@ -2,7 +2,7 @@
 
 use super::tuning::{COUNTER_HALF_LIFE, RETRY_FLOOR, RETRY_SHARE};
 use super::FrontNode;
-use crate::interface::{Class, Effect, Micros, ReplicaId};
+use crate::interface::{Class, Idempotency, Micros, ReplicaId};
 use crate::state::{ClassStep, Part, Query, Replica};
 
 impl FrontNode {
@@ -43,13 +43,13 @@
 
     fn effect_allows_retry(&self, query: &Query, part: &Part) -> bool {
         let class = &self.settings.classes[query.class];
-        match class.effect {
-            Effect::Idempotent => true,
-            Effect::IdempotencyKeyed => {
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => {
                 let time_left = self.idempotency_time_left(class, part, query.class_step());
                 time_left.is_none_or(|left| left > Micros(0))
             }
-            Effect::NonIdempotent => !part.attempts.iter().any(|attempt| attempt.may_have_run()),
+            Idempotency::NonIdempotent => !part.attempts.iter().any(|attempt| attempt.may_have_run()),
         }
     }
 
@@ -63,7 +63,7 @@
         class_step: ClassStep,
     ) -> Option<Micros> {
         let first = part.attempts.iter().find(|attempt| attempt.may_have_run())?;
-        if class.effect != Effect::IdempotencyKeyed {
+        if class.idempotency != Idempotency::Keyed {
             return None;
         }
         let wait = self.stats(class_step).p95.unwrap_or(self.typical_latency(class_step));
--- a/src/front_node/silence.rs
+++ b/src/front_node/silence.rs
@@ -29,7 +29,7 @@
     /// event came from outside, clients included. What comes first after it may be the first of many.
     pub(super) fn detect_silence(&mut self, events: &[Event]) {
         let owed = self.owed_answers();
-        let too_long = owed.typical_latency.times(SILENCE_MULTIPLE);
+        let too_long = owed.typical_latency.mul_f64(SILENCE_MULTIPLE);
         let half = self.replicas.values().filter(|replica| replica.in_service()).count() / 2;
         let silent_from = owed.since.get(half).map(|since| self.last_response_at.max(*since));
         if let Some(from) = silent_from.filter(|from| self.now - *from > too_long) {
--- a/src/front_node/slow_start.rs
+++ b/src/front_node/slow_start.rs
@@ -7,9 +7,9 @@
 impl FrontNode {
     /// The share of its capacity that a replica is known to have: it grows linearly to 1 at the slowest.
     pub(super) fn warmth(&self, replica: &Replica) -> f64 {
-        let Some(started) = replica.started else { return 1.0 };
+        let Some(started) = replica.started_at else { return 1.0 };
         let cold = self.settings.rules.cold_capacity_share;
-        let grown = (self.now - started).over(self.settings.rules.warm_up_time).clamp(0.0, 1.0);
+        let grown = (self.now - started).ratio_to(self.settings.rules.warm_up_time).clamp(0.0, 1.0);
         (cold + (1.0 - cold) * grown).max(MIN_WARMTH)
     }
 
@@ -28,13 +28,13 @@
     /// up.
     pub(super) fn within_slow_start(&self, replica: &Replica, class_step: ClassStep) -> bool {
         let warmth = self.warmth(replica);
-        let Some(started) = replica.started.filter(|_| warmth < 1.0) else { return true };
+        let Some(started) = replica.started_at.filter(|_| warmth < 1.0) else { return true };
         let rules = &self.settings.rules;
         if self.now - self.started_at < rules.overload_window {
             return false;
         }
-        let even_share = replica.size.min(1.0) / self.fleet_size();
-        let share = even_share.max(self.mean_work_rate * replica.size);
+        let even_share = replica.relative_capacity.min(1.0) / self.fleet_size();
+        let share = even_share.max(self.mean_work_rate * replica.relative_capacity);
         let rate = SLOW_START_MARGIN * rules.overload_multiple * warmth * share;
         let budget = rate * rules.overload_window.0 as f64;
         let work = self.work(class_step);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,11 @@
-//! The decision core's interface: settings, events in, actions out.
+//! Interface of the decision core: its settings, its input events and its output actions.
 //!
-//! Plain data only: no item here makes a decision. The `front_node` modules do.
+//! This module holds plain data only. All decisions are made in the private `front_node` module. The crate's
+//! front page defines the terms (query, part, step, attempt, call, cell).
 
-/// A moment or a duration in microseconds. Moments count from an arbitrary start.
+/// A point in time or a duration, in microseconds.
+///
+/// Points in time are relative to an origin that the host chooses; it has to be the same for all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Micros(pub i64);
 
@@ -21,307 +24,318 @@
 }
 
 impl Micros {
-    /// This duration times a factor, rounded toward zero.
-    pub fn times(self, factor: f64) -> Micros {
+    /// Multiplies this duration by a factor and rounds the result toward zero.
+    pub fn mul_f64(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as i64)
     }
 
-    /// The ratio of this duration to another one; a divisor under one microsecond counts as one.
-    pub fn over(self, other: Micros) -> f64 {
+    /// Returns the ratio of this duration to `other`. An `other` below one microsecond counts as one.
+    pub fn ratio_to(self, other: Micros) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
 }
 
-/// A query or a part of one, numbered by the host.
+/// Identifies a query or a part of a query. The host assigns the ids; no two open ones have the same id.
 pub type Id = u32;
-/// A replica, numbered by the host in the order in which this front node first learned of them.
+/// Identifies a replica. The host numbers replicas in the order in which this front node first saw them.
 pub type ReplicaId = u32;
 
-/// Whether a part of a query may be retried after an attempt that may have run.
+/// Whether a part of a query may be retried after an earlier attempt may have run at a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Idempotent: any number of attempts has the effect of one.
+pub enum Idempotency {
+    /// Any number of attempts has the same effect as one, so retries are always safe.
     Idempotent,
-    /// Sent with an idempotency key: the replicas drop duplicates for [`Class::idempotency_window`], counted
-    /// from the first attempt that may have run.
-    IdempotencyKeyed,
-    /// Not idempotent: a second run would have a second effect.
+    /// Parts carry an idempotency key, by which replicas drop duplicates. Retries are safe for
+    /// [`Class::idempotency_window`], counted from the send of the first attempt that may have run.
+    Keyed,
+    /// Running a part twice has the effect twice, so only attempts that provably did not run are retried.
     NonIdempotent,
 }
 
-/// One class of queries.
+/// A class of queries: queries with the same objectives, priority and retry rules.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Latency objective: an answer within this time earns its full priority weight.
+    /// Latency objective: an answer within this time earns the full priority weight.
     pub latency_objective: Micros,
-    /// The objective grows by this multiple of the query's own work, up to the deadline.
-    pub objective_stretch: f64,
-    /// How long the client waits, over all its tries.
+    /// A query's objective is extended by this factor times its work hint, up to the deadline.
+    pub objective_work_factor: f64,
+    /// How long the client waits for an answer in total, over all tries of a query.
     pub deadline: Micros,
     /// Priority weight of a complete answer.
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer between objective and deadline earns.
+    /// Share of the priority weight that an answer earns after the objective and before the deadline.
     pub late_weight_share: f64,
-    /// Whether parts may be retried.
-    pub effect: Effect,
-    /// For [`Effect::IdempotencyKeyed`]: how long duplicates are dropped.
+    /// Whether parts may be retried after an attempt that may have run.
+    pub idempotency: Idempotency,
+    /// How long replicas drop duplicates of a part. Used with [`Idempotency::Keyed`] only.
     pub idempotency_window: Micros,
-    /// Share of the first step's weight that makes an answer complete.
+    /// Share of the first step's weight that has to be answered for a complete answer.
     pub complete_share: f64,
-    /// Least share of the first step's weight from which a partial answer may be given.
-    pub partial_floor: f64,
-    /// What a partial answer earns, times its share over `complete_share`.
-    pub partial_value: f64,
-    /// Number of parts of the second step; 0 where the class has one step.
+    /// Minimum share of the first step's weight that has to be answered for a partial answer. Partial answers
+    /// are not allowed unless this is below `complete_share`.
+    pub partial_min_share: f64,
+    /// Share of the priority weight that a partial answer earns, multiplied by its answered share divided by
+    /// `complete_share`.
+    pub partial_weight_share: f64,
+    /// Number of parts of the second step; 0 if queries of this class have a single step.
     pub second_step_parts: u32,
 }
 
 impl Class {
-    /// Whether a query of this class goes on with a second step once the first is answered.
+    /// Returns whether queries of this class have a second step, which begins once the first is answered.
     pub fn has_second_step(&self) -> bool {
         self.second_step_parts > 0
     }
 }
 
-/// One tenant.
+/// A tenant: a customer of the service, with a quota of its own.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Quota in queries a second, over all front nodes.
+    /// Quota in queries per second, over all front nodes.
     pub quota_per_s: f64,
 }
 
-/// The retry budget, where one is set: retries in the window stay within
-/// `min_retries + retry_ratio * (queries and parts received in the window)`.
+/// A limit on the retries that this front node sends.
+///
+/// Within any `window`, at most `min_retries + retry_ratio * (queries and parts received in it)` are sent.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// Length of the sliding window.
     pub window: Micros,
-    /// Retries allowed however little is received.
+    /// Number of retries that are allowed regardless of how much is received.
     pub min_retries: f64,
-    /// Retries allowed for each query and part received.
+    /// Number of retries that are allowed for each query and each part received.
     pub retry_ratio: f64,
 }
 
-/// The figures of the service's rules.
+/// Constraints of the service: how replicas warm up and overload, and limits that front nodes have to keep.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// Least share of its capacity with which a replica starts.
+    /// Minimum share of its full capacity that a replica has when it starts.
     pub cold_capacity_share: f64,
-    /// A replica is warm this long after its start at the latest.
+    /// Time after its start by which a replica has its full capacity.
     pub warm_up_time: Micros,
-    /// A warming-up replica fails when it is sent more than this multiple of its present capacity ...
+    /// A warming-up replica fails if it is sent more than this multiple of its current capacity for the whole
+    /// of `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// How long the overload of a warming-up replica lasts until it fails.
     pub overload_window: Micros,
-    /// Where the endpoint list must be polled: a change listed this long ago counts as notified.
-    pub poll_within: Micros,
-    /// The retry budget, where one is set.
+    /// If the endpoint list is polled: age of a change after which the front node is expected to know it.
+    pub max_list_staleness: Micros,
+    /// The retry budget; `None` if the service sets none.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// What the deployment permits and limits.
+/// What the deployment allows a front node to do, and how much of it.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Most attempts for one part, the first included.
+    /// Maximum number of attempts for a part, including the first one.
     pub max_attempts: u32,
-    /// Two attempts of one part may be in flight at once (hedged requests).
+    /// Whether several attempts of a part may be in flight at once (hedged requests).
     pub allow_hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled at their replica.
     pub allow_cancel: bool,
-    /// A rejected client is given a Retry-After.
+    /// Whether a rejection carries a `Retry-After` for the client.
     pub send_retry_after: bool,
-    /// Longest Retry-After that clients obey.
+    /// Longest `Retry-After` that clients obey.
     pub max_retry_after: Micros,
-    /// Most queries and parts that this front node may have in flight.
+    /// Maximum number of queries and parts that this front node may have in flight.
     pub max_in_flight: u32,
-    /// Most parts in one call.
+    /// Maximum number of parts in one call to a replica.
     pub max_batch: u32,
 }
 
-/// The settings of a front node, fixed when it starts.
+/// Settings of a front node. They do not change while it runs.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of front nodes.
     pub fleet_size: u32,
-    /// The classes, by their number.
+    /// The classes. Events refer to a class by its index.
     pub classes: Vec<Class>,
-    /// The tenants, by their number.
+    /// The tenants. Events refer to a tenant by its index.
     pub tenants: Vec<Tenant>,
-    /// Share of the priority weight that a query beyond its tenant's quota earns.
+    /// Share of the priority weight that a query earns while its tenant is over its quota.
     pub over_quota_weight_share: f64,
-    /// Price of work that serves no answer, as a share of the priority weight of what was asked for.
-    pub waste_price: f64,
-    /// Clients mark the queries that they retry.
-    pub marks_retries: bool,
-    /// The endpoint list comes only when polled for.
-    pub must_poll: bool,
-    /// Number of cells.
+    /// Cost of work that contributes to no answer, as a share of the priority weight of the query it was done
+    /// for.
+    pub wasted_work_cost: f64,
+    /// Whether clients mark a query that is a retry ([`Event::Query::retry`](Event::Query)).
+    pub clients_mark_retries: bool,
+    /// Whether the endpoint list has to be requested with [`Action::WatchEndpointList`]. If not, it is pushed
+    /// to the front node unrequested.
+    pub poll_endpoint_list: bool,
+    /// Number of cells. A cell is a group of replicas that hold the same shards.
     pub cell_count: u32,
-    /// Number of cells that hold a shard: shard s lives on cells s, s + 1 ... (modulo `cell_count`).
+    /// Number of cells that hold each shard: shard `s` is held by the cells `s`, `s + 1`, ... modulo
+    /// `cell_count`.
     pub cells_per_shard: u32,
-    /// Least time between two batches.
+    /// Minimum time between two batches of events.
     pub tick: Micros,
-    /// Permissions and limits.
+    /// Permissions and limits of the deployment.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Constraints of the service.
     pub rules: Rules,
 }
 
-/// The lifecycle state of a replica in the endpoint list.
+/// Lifecycle state of a replica according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// In service: takes new attempts.
+    /// The replica takes new attempts.
     InService,
-    /// Draining: finishes its attempts in flight and takes no new ones.
+    /// The replica finishes its attempts in flight and takes no new ones.
     Draining,
-    /// Removed from the list, or never on it.
+    /// The replica has been removed from the list, or has never been on it.
     #[default]
-    Gone,
+    Removed,
 }
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedReplica {
     /// The replica.
     pub replica: ReplicaId,
-    /// Its cell.
+    /// The cell that it belongs to.
     pub cell: u32,
-    /// Registered capacity relative to that of other replicas.
-    pub size: f64,
-    /// Its lifecycle state.
+    /// Registered capacity of the replica, relative to the other replicas.
+    pub relative_capacity: f64,
+    /// Lifecycle state of the replica.
     pub lifecycle: Lifecycle,
-    /// When it last started, if that is known and recent.
-    pub started: Option<Micros>,
+    /// When the replica last started; `None` if that is unknown or long ago.
+    pub started_at: Option<Micros>,
 }
 
-/// How an attempt ended.
+/// How an attempt of a part ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer is in.
+    /// The replica answered the part.
     Ok,
-    /// The replica answered with an error; the part may have run.
+    /// The replica returned an error. The attempt may have run.
     Error,
-    /// Rejected by the replica before running.
+    /// The replica rejected the attempt without running it.
     Rejected,
-    /// No answer within the attempt's timeout; it may have run.
+    /// No answer arrived within the timeout of the attempt. It may have run.
     Timeout,
-    /// No connection; it did not run.
+    /// No connection to the replica could be established. The attempt did not run.
     ConnectFailed,
-    /// The connection was reset; it may have run.
+    /// The connection was reset. The attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. It may have run.
     Cancelled,
-    /// Never sent.
+    /// The host did not send the attempt.
     NotSent,
 }
 
-/// An input of the front node.
+/// An input of the decision core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The complete endpoint list, possibly from before this front node's start.
+    /// A complete endpoint list.
     EndpointList {
-        /// Every replica there is.
+        /// An entry for each replica on the list.
         replicas: Vec<ListedReplica>,
-        /// True for the last list known before the start, false for a list received since.
+        /// Whether the list was stored before this front node started, as opposed to received since then.
         cached: bool,
     },
-    /// A watch event: changed entries of the endpoint list.
+    /// A watch event with the changed entries of the endpoint list.
     EndpointListChanged(Vec<ListedReplica>),
-    /// Polling the endpoint list failed, or the watch on it was lost.
+    /// Requesting the endpoint list failed, or the watch on it was lost.
     WatchFailed,
-    /// A query.
+    /// A query has arrived. Its parts follow in the same batch.
     Query {
-        /// Its id.
+        /// Id of the query, by which actions refer to it.
         id: Id,
-        /// Its number, which its parts carry too.
+        /// Sequence number of the query, by which its parts refer to it. Open queries are processed in
+        /// ascending order of this number.
         number: u64,
-        /// Its class; out of range if the settings do not know it.
+        /// Index of the class in [`Settings::classes`]; out of range if the class is unknown.
         class: usize,
-        /// Its tenant, where there are tenants.
+        /// Index of the tenant in [`Settings::tenants`]; `None` if the query has no tenant.
         tenant: Option<usize>,
-        /// Time left before the client abandons this try.
+        /// Time left until the client abandons this try.
         expires_in: Micros,
-        /// Estimated work of all its parts, where hinted.
+        /// Estimated work of all parts together, if the client states it.
         work_hint: Option<Micros>,
-        /// Marked by the client as a retry, where clients mark them.
+        /// Whether the client marked this try as a retry. Meaningful only with
+        /// [`Settings::clients_mark_retries`].
         retry: bool,
     },
-    /// A part of a query.
+    /// A part of the current step of a query.
     Part {
-        /// Its id.
+        /// Id of the part, by which actions and [`Event::AttemptEnded`] refer to it.
         id: Id,
-        /// The number of its query.
-        number: u64,
-        /// Its shard.
+        /// Sequence number of the query that the part belongs to.
+        query_number: u64,
+        /// The shard that has to answer the part.
         shard: u32,
-        /// Its weight in its step.
+        /// Weight of the part; the weights of a step add up to 1.
         weight: f64,
-        /// Estimated work of the part, where hinted.
+        /// Estimated work of the part, if the client states it.
         work_hint: Option<Micros>,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The part.
+        /// The part that was attempted.
         part: Id,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt among those of its part, from 0.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
-    /// The client of this query has disconnected.
+    /// The client of the query with this id has disconnected.
     ClientDisconnected(Id),
-    /// A timer set by [`Action::SetTimer`] is due.
+    /// A timer that was set with [`Action::SetTimer`] has expired.
     TimerFired,
-    /// The result of a health check; the core requests none so far.
+    /// A health check has finished. The decision core requests no health checks and ignores this event.
     HealthChecked,
 }
 
-/// An output of the front node, to be carried out by the host.
+/// An output of the decision core, to be carried out by the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send a part to a replica.
     Attempt {
-        /// The part.
+        /// The part to send.
         part: Id,
-        /// The replica to send it to.
+        /// The replica to send the part to.
         replica: ReplicaId,
-        /// Its timeout.
+        /// Time after which the host ends the attempt with [`Outcome::Timeout`].
         timeout: Micros,
-        /// Send within this time or not at all: a retry sent later could outlive the idempotency window.
+        /// If set, the attempt must be dropped unless it can be sent within this time: a retry that is sent
+        /// later could run after the idempotency window.
         send_within: Option<Micros>,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The part.
+        /// The part that was attempted.
         part: Id,
-        /// Number of the attempt.
+        /// Number of the attempt among those of its part, from 0.
         attempt: u32,
     },
-    /// Answer from the parts that are in.
+    /// Answer the current step of the query from the parts answered so far. This is the final answer unless a
+    /// second step follows.
     Answer {
-        /// The query.
+        /// Id of the query.
         query: Id,
-        /// Whether the answer is complete.
+        /// Whether the answer is complete, as opposed to partial.
         complete: bool,
     },
-    /// Final: rejected; a retry by the client is harmless.
+    /// Final answer: reject the query. A retry by the client is safe.
     Reject {
-        /// The query.
+        /// Id of the query.
         query: Id,
-        /// The Retry-After to give, if any.
+        /// Value of the `Retry-After` for the client, if one is sent.
         retry_after: Option<Micros>,
     },
-    /// Final: failed; a part may have run.
+    /// Final answer: fail the query. A part may have run, so a retry by the client may have a second effect.
     Fail {
-        /// The query.
+        /// Id of the query.
         query: Id,
     },
-    /// Send [`Event::TimerFired`] after this time.
+    /// Deliver [`Event::TimerFired`] after this time.
     SetTimer(Micros),
-    /// Fetch the endpoint list and watch it for changes from now on.
+    /// Fetch the endpoint list and watch it for changes.
     WatchEndpointList,
-    /// Write a line to the operators' log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/numeric.rs
+++ b/src/numeric.rs
@@ -29,13 +29,13 @@
 
     /// The rate of what was added, a second: in a steady state the counter holds `rate * half_life / ln 2`.
     pub(crate) fn per_second(&self, now: Micros, half_life: Micros) -> f64 {
-        self.read(now, half_life) * std::f64::consts::LN_2 / half_life.over(SECOND)
+        self.read(now, half_life) * std::f64::consts::LN_2 / half_life.ratio_to(SECOND)
     }
 }
 
 /// The share that is left after an age of a value that halves in every half-life.
 pub(crate) fn decay(age: Micros, half_life: Micros) -> f64 {
-    0.5_f64.powf(age.over(half_life).max(0.0))
+    0.5_f64.powf(age.ratio_to(half_life).max(0.0))
 }
 
 /// The samples in ascending order; empty where there are fewer than `min_samples`.
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -48,11 +48,11 @@
     /// Its cell.
     pub(crate) cell: u32,
     /// Registered capacity relative to that of other replicas.
-    pub(crate) size: f64,
+    pub(crate) relative_capacity: f64,
     /// Its lifecycle state in the endpoint list.
     pub(crate) lifecycle: Lifecycle,
     /// When it last started, if that is known and recent.
-    pub(crate) started: Option<Micros>,
+    pub(crate) started_at: Option<Micros>,
     /// Our calls in flight at it; where calls are not shared, our parts.
     pub(crate) in_flight: u32,
     /// For each recent failed attempt, until when it counts as one in flight.
@@ -83,8 +83,8 @@
 
 impl Replica {
     /// A replica of which nothing is known but its start.
-    pub(crate) fn new(started: Option<Micros>, spacing_phase: f64) -> Replica {
-        Replica { started, latency_ratio: 1.0, load_factor: 1.0, spacing_phase, ..Replica::default() }
+    pub(crate) fn new(started_at: Option<Micros>, spacing_phase: f64) -> Replica {
+        Replica { started_at, latency_ratio: 1.0, load_factor: 1.0, spacing_phase, ..Replica::default() }
     }
 
     /// Whether it takes new attempts by the endpoint list.
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -84,7 +84,7 @@
 fn a_shard_without_capacity_does_not_hold_up_the_others() {
     let mut world = World::new(settings(), 4);
     world.learn_latencies(20);
-    world.deliver(vec![Event::EndpointListChanged(vec![list_entry(1, Lifecycle::Gone, None)])]);
+    world.deliver(vec![Event::EndpointListChanged(vec![list_entry(1, Lifecycle::Removed, None)])]);
     // Shard 0 is left with replica 0, which has no capacity; shard 2 lives on 2 and 3.
     let (mut without_capacity, mut other) = (0, 0);
     for round in 0..60 {
@@ -106,7 +106,7 @@
 fn short_first_tries_are_admitted_where_retries_are_marked_or_all_tries_are_short() {
     let mut set = settings();
     set.classes[0].late_weight_share = 0.0;
-    set.marks_retries = true;
+    set.clients_mark_retries = true;
     let mut world = World::new(set.clone(), 4);
     world.learn_latencies(20); // tries of 3 s
     let (_, events) = world.query_events(0, &[0], ms(700));
@@ -120,7 +120,7 @@
         sent_attempts(&actions).is_empty(),
         "a retry whose client has waited past its objective: {actions:?}"
     );
-    set.marks_retries = false;
+    set.clients_mark_retries = false;
     let mut world = World::new(set, 4);
     world.learn_latencies(20);
     let mut served = Vec::new();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,15 +14,15 @@
 pub fn class(complete_share: f64) -> Class {
     Class {
         latency_objective: ms(1000),
-        objective_stretch: 0.0,
+        objective_work_factor: 0.0,
         deadline: ms(3000),
         priority_weight: 1.0,
         late_weight_share: 0.2,
-        effect: Effect::Idempotent,
+        idempotency: Idempotency::Idempotent,
         idempotency_window: ms(2000),
         complete_share,
-        partial_floor: complete_share,
-        partial_value: 0.9,
+        partial_min_share: complete_share,
+        partial_weight_share: 0.9,
         second_step_parts: 0,
     }
 }
@@ -34,9 +34,9 @@
         classes: vec![class(1.0), class(0.75)],
         tenants: vec![Tenant { quota_per_s: 100.0 }, Tenant { quota_per_s: 1.0 }],
         over_quota_weight_share: 0.05,
-        waste_price: 0.0,
-        marks_retries: false,
-        must_poll: false,
+        wasted_work_cost: 0.0,
+        clients_mark_retries: false,
+        poll_endpoint_list: false,
         cell_count: 4,
         cells_per_shard: 2,
         tick: ms(5),
@@ -54,7 +54,7 @@
             warm_up_time: ms(10_000),
             overload_multiple: 2.0,
             overload_window: ms(1000),
-            poll_within: ms(10_000),
+            max_list_staleness: ms(10_000),
             retry_budget: None,
         },
     }
@@ -64,19 +64,19 @@
 pub fn varied_settings() -> Settings {
     let mut set = settings();
     set.classes = vec![class(1.0), class(0.75), class(1.0), class(0.6), class(1.0)];
-    set.classes[1].partial_floor = 0.5;
-    set.classes[2].effect = Effect::IdempotencyKeyed;
-    set.classes[3].effect = Effect::NonIdempotent;
+    set.classes[1].partial_min_share = 0.5;
+    set.classes[2].idempotency = Idempotency::Keyed;
+    set.classes[3].idempotency = Idempotency::NonIdempotent;
     set.classes[3].late_weight_share = 0.0;
     set.classes[4].second_step_parts = 2;
     set.rules.retry_budget = Some(RetryBudget { window: ms(2000), min_retries: 5.0, retry_ratio: 0.1 });
-    set.must_poll = true;
+    set.poll_endpoint_list = true;
     set
 }
 
 /// An entry of the endpoint list: replica n in cell n modulo four.
-pub fn list_entry(replica: ReplicaId, lifecycle: Lifecycle, started: Option<Micros>) -> ListedReplica {
-    ListedReplica { replica, cell: replica % 4, size: 1.0, lifecycle, started }
+pub fn list_entry(replica: ReplicaId, lifecycle: Lifecycle, started_at: Option<Micros>) -> ListedReplica {
+    ListedReplica { replica, cell: replica % 4, relative_capacity: 1.0, lifecycle, started_at }
 }
 
 /// A complete list of so many replicas, all in service for long.
@@ -153,7 +153,13 @@
             let weight = 1.0 / shards.len() as f64;
             self.shard.insert(id + place, *shard);
             self.query_of.insert(id + place, id);
-            events.push(Event::Part { id: id + place, number, shard: *shard, weight, work_hint: None });
+            events.push(Event::Part {
+                id: id + place,
+                query_number: number,
+                shard: *shard,
+                weight,
+                work_hint: None,
+            });
         }
         (id, events)
     }
@@ -212,7 +218,7 @@
     set.cell_count = 100;
     set.cells_per_shard = 3;
     set.fleet_size = 60;
-    set.marks_retries = true;
+    set.clients_mark_retries = true;
     let mut world = World::new(set, 0);
     let lines =
         (0..100).map(|n| ListedReplica { cell: n, ..list_entry(n, Lifecycle::InService, None) }).collect();
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn draining_and_gone_replicas_get_no_new_attempts() {
-    for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
+    for lifecycle in [Lifecycle::Draining, Lifecycle::Removed] {
         let mut world = World::new(settings(), 4);
         world.deliver(vec![Event::EndpointListChanged(vec![list_entry(0, lifecycle, None)])]);
         for _ in 0..30 {
@@ -36,7 +36,7 @@
     let (_, actions) = world.query(0, &[0]);
     let (part, first) = sent_attempts(&actions)[0];
     let actions =
-        world.deliver(vec![Event::EndpointListChanged(vec![list_entry(first, Lifecycle::Gone, None)])]);
+        world.deliver(vec![Event::EndpointListChanged(vec![list_entry(first, Lifecycle::Removed, None)])]);
     assert_eq!(sent_attempts(&actions), [(part, 1 - first)]);
 }
 
@@ -53,8 +53,8 @@
 fn a_query_whose_shard_has_no_replica_in_service_is_rejected_at_once() {
     let mut world = World::new(settings(), 4);
     world.deliver(vec![Event::EndpointListChanged(vec![
-        list_entry(0, Lifecycle::Gone, None),
-        list_entry(1, Lifecycle::Gone, None),
+        list_entry(0, Lifecycle::Removed, None),
+        list_entry(1, Lifecycle::Removed, None),
     ])]);
     let (id, actions) = world.query(0, &[0, 2]);
     assert!(
@@ -66,7 +66,7 @@
 #[test]
 fn a_failed_watch_is_requested_again_with_growing_backoff() {
     let mut set = settings();
-    set.must_poll = true;
+    set.poll_endpoint_list = true;
     let mut world = World::new(set, 0);
     let mut requests = Vec::new();
     for _ in 0..1000 {
@@ -87,7 +87,7 @@
 #[test]
 fn a_watch_lost_without_open_queries_is_requested_again_by_a_timer() {
     let mut set = settings();
-    set.must_poll = true;
+    set.poll_endpoint_list = true;
     let mut world = World::new(set, 0);
     while !world.wait(ms(10)).contains(&Action::WatchEndpointList) {}
     world.deliver(vec![complete_list(4)]);
@@ -111,7 +111,7 @@
 #[test]
 fn an_unanswered_watch_request_is_repeated() {
     let mut set = settings();
-    set.must_poll = true;
+    set.poll_endpoint_list = true;
     let mut world = World::new(set, 0);
     let requests = (0..1000).filter(|_| world.wait(ms(10)).contains(&Action::WatchEndpointList)).count();
     assert!((2..=3).contains(&requests), "{requests}");
@@ -120,7 +120,7 @@
 #[test]
 fn front_nodes_that_restart_together_spread_their_first_polls() {
     let mut set = settings();
-    set.must_poll = true;
+    set.poll_endpoint_list = true;
     set.fleet_size = 100;
     let first = |seed| {
         let mut world = World::new(set.clone(), 0);
@@ -134,8 +134,8 @@
 #[test]
 fn polls_are_bounded_where_no_poll_interval_is_stated() {
     let mut set = settings();
-    set.must_poll = true;
-    set.rules.poll_within = Micros(0);
+    set.poll_endpoint_list = true;
+    set.rules.max_list_staleness = Micros(0);
     let mut world = World::new(set, 0);
     let mut requests = 0;
     for _ in 0..1000 {
@@ -153,7 +153,7 @@
     world.learn_latencies(5);
     // Named twice in one list: the later entry counts, and it is one replica, not two.
     let twice = vec![
-        list_entry(0, Lifecycle::Gone, None),
+        list_entry(0, Lifecycle::Removed, None),
         list_entry(0, Lifecycle::InService, None),
         list_entry(1, Lifecycle::InService, None),
         list_entry(1, Lifecycle::Draining, None),
@@ -183,7 +183,7 @@
     for generation in 1..400_u32 {
         // Each generation replaces the one before under new numbers, with attempts in flight and failures behind it.
         let fresh = |n| list_entry(generation * 4 + n, Lifecycle::InService, None);
-        let old = |n| list_entry((generation - 1) * 4 + n, Lifecycle::Gone, None);
+        let old = |n| list_entry((generation - 1) * 4 + n, Lifecycle::Removed, None);
         world.query(0, &[0, 1, 2, 3]);
         world.deliver(vec![Event::EndpointListChanged((0..4).map(fresh).chain((0..4).map(old)).collect())]);
         world.end_attempts(Outcome::Reset, |replica| replica < generation * 4);
--- a/tests/query_lifecycle.rs
+++ b/tests/query_lifecycle.rs
@@ -28,7 +28,7 @@
         retry: false,
     }];
     for (id, weight) in [(2, 0.7), (3, 0.1), (4, 0.1), (5, 0.1)] {
-        events.push(Event::Part { id, number: 1, shard: id, weight, work_hint: None });
+        events.push(Event::Part { id, query_number: 1, shard: id, weight, work_hint: None });
     }
     let actions = world.deliver(events);
     assert!(
@@ -57,7 +57,7 @@
     let actions = world.end_attempts(Outcome::Ok, |_| true);
     assert_eq!(final_answers(&actions), [Action::Answer { query: id, complete: true }]);
     let number = u64::from(id);
-    let part = |id, shard| Event::Part { id, number, shard, weight: 0.5, work_hint: None };
+    let part = |id, shard| Event::Part { id, query_number: number, shard, weight: 0.5, work_hint: None };
     let actions = world.deliver(vec![part(100, 0), part(101, 1)]);
     assert_eq!(sent_attempts(&actions).len(), 2);
     world.now = world.now + ms(50);
@@ -75,7 +75,7 @@
     world.end_attempts(Outcome::Ok, |_| true);
     world.deliver(vec![Event::Part {
         id: 100,
-        number: u64::from(id),
+        query_number: u64::from(id),
         shard: 0,
         weight: 1.0,
         work_hint: None,
@@ -125,7 +125,7 @@
 fn a_partial_answer_needs_the_floor_and_is_not_marked_complete() {
     for (landed, partial) in [(1, false), (2, true)] {
         let mut set = settings();
-        set.classes[0].partial_floor = 0.5;
+        set.classes[0].partial_min_share = 0.5;
         let mut world = World::new(set, 8);
         world.query(0, &[0, 1, 2, 3]);
         world.now = world.now + ms(50);
@@ -158,7 +158,7 @@
         [(0.0, 0, ms(3000)), (0.15, 0, ms(3000)), (0.15, 2, ms(1000)), (0.3, 0, ms(1000))]
     {
         let mut set = settings(); // late answers earn 0.2, after an objective of one second
-        set.waste_price = price;
+        set.wasted_work_cost = price;
         set.classes[0].second_step_parts = second_step;
         let mut world = World::new(set, 4);
         let start = world.now;
@@ -180,7 +180,7 @@
         work_hint: None,
         retry: false,
     };
-    let part = Event::Part { id: 10, number: 9, shard: 0, weight: 1.0, work_hint: None };
+    let part = Event::Part { id: 10, query_number: 9, shard: 0, weight: 1.0, work_hint: None };
     let stray = Event::AttemptEnded { part: 77, attempt: 3, outcome: Outcome::Ok, elapsed: ms(5) };
     let actions =
         world.deliver(vec![query, part, stray, Event::ClientDisconnected(55), Event::HealthChecked]);
--- a/tests/replay/driver.rs
+++ b/tests/replay/driver.rs
@@ -142,7 +142,7 @@
         let replica = self.draws.below(u64::from(self.scenario.replicas) + 2) as u32;
         let (lifecycle, started) = match self.draws.below(4) {
             0 => (Lifecycle::Draining, None),
-            1 => (Lifecycle::Gone, None),
+            1 => (Lifecycle::Removed, None),
             2 => (Lifecycle::InService, Some(self.world.now)),
             _ => (Lifecycle::InService, None),
         };
--- a/tests/replay/main.rs
+++ b/tests/replay/main.rs
@@ -17,7 +17,7 @@
 
 /// The varied settings, with retries that clients mark.
 fn marked_retries_settings() -> Settings {
-    Settings { marks_retries: true, ..varied_settings() }
+    Settings { clients_mark_retries: true, ..varied_settings() }
 }
 
 /// Few attempts, no hedging, no cancelling, little room in flight, small quotas, short objectives.
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -16,7 +16,7 @@
         (Outcome::Cancelled, 0),
     ] {
         let mut set = settings();
-        set.classes[0].effect = Effect::NonIdempotent;
+        set.classes[0].idempotency = Idempotency::NonIdempotent;
         let mut world = World::new(set, 4);
         world.query(0, &[0]);
         world.now = world.now + ms(20);
@@ -36,7 +36,7 @@
 #[test]
 fn a_non_idempotent_query_that_never_ran_may_be_rejected() {
     let mut set = settings();
-    set.classes[0].effect = Effect::NonIdempotent;
+    set.classes[0].idempotency = Idempotency::NonIdempotent;
     set.limits.max_attempts = 1;
     let mut world = World::new(set, 4);
     world.query(0, &[0]);
@@ -51,7 +51,7 @@
 fn a_keyed_part_that_may_have_run_is_retried_only_within_its_idempotency_window() {
     for (age, retries) in [(ms(1500), 1), (ms(2100), 0)] {
         let mut set = settings();
-        set.classes[0].effect = Effect::IdempotencyKeyed;
+        set.classes[0].idempotency = Idempotency::Keyed;
         set.limits.allow_hedging = false;
         let mut world = World::new(set, 4);
         world.query(0, &[0]);
@@ -65,7 +65,7 @@
 fn a_keyed_retry_is_sent_within_its_window_less_the_expected_wait_or_not_at_all() {
     let within = |age: Micros| {
         let mut set = settings();
-        set.classes[0].effect = Effect::IdempotencyKeyed;
+        set.classes[0].idempotency = Idempotency::Keyed;
         set.limits.allow_hedging = false;
         let mut world = World::new(set, 4);
         // Parts take 100 ms, a few of them 400: so long a retry may wait at its replica.
@@ -127,7 +127,7 @@
 fn a_rejected_part_is_not_retried_at_the_same_replica_at_once() {
     let mut world = World::new(settings(), 4);
     world.learn_latencies(20);
-    world.deliver(vec![Event::EndpointListChanged(vec![list_entry(1, Lifecycle::Gone, None)])]);
+    world.deliver(vec![Event::EndpointListChanged(vec![list_entry(1, Lifecycle::Removed, None)])]);
     world.query(0, &[0]);
     world.now = world.now + ms(5);
     assert!(sent_attempts(&world.end_attempts(Outcome::Rejected, |_| true)).is_empty());
--- a/tests/rules/events.rs
+++ b/tests/rules/events.rs
@@ -85,7 +85,7 @@
 
     fn change_replica(&mut self, records: &mut Records) -> Event {
         const STATES: [Lifecycle; 4] =
-            [Lifecycle::InService, Lifecycle::InService, Lifecycle::Draining, Lifecycle::Gone];
+            [Lifecycle::InService, Lifecycle::InService, Lifecycle::Draining, Lifecycle::Removed];
         let id = self.random.below(u64::from(self.replicas)) as ReplicaId;
         let lifecycle = STATES[self.random.below(4) as usize];
         let started = self.random.one_in(2).then_some(records.now);
@@ -167,7 +167,7 @@
         records.received.push(records.now);
         records.parts.insert(id, PartRecord { query, shard, weight, step, attempts: Vec::new() });
         records.queries.get_mut(&query).expect("a known query").parts.push(id);
-        events.push(Event::Part { id, number: u64::from(query), shard, weight, work_hint: None });
+        events.push(Event::Part { id, query_number: u64::from(query), shard, weight, work_hint: None });
     }
 
     fn take_id(&mut self) -> Id {
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -38,7 +38,7 @@
 fn run(seed: u64, scale: Scale) -> RunResult {
     let mut set = varied_settings();
     set.fleet_size = scale.front_nodes;
-    set.marks_retries = seed % 2 == 1;
+    set.clients_mark_retries = seed % 2 == 1;
     let now = ms(100_000);
     let mut node = FrontNode::new(set.clone(), seed, now);
     let mut source = EventSource::new(seed, scale.replicas);
--- a/tests/rules/records.rs
+++ b/tests/rules/records.rs
@@ -154,14 +154,14 @@
     fn check_effect(&self, part: &PartRecord) {
         let class = &self.settings.classes[self.queries[&part.query].class];
         let may_have_run = part.attempts.iter().find(|attempt| !attempt.never_ran());
-        match class.effect {
-            Effect::Idempotent => {}
-            Effect::IdempotencyKeyed => {
+        match class.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::Keyed => {
                 let in_window =
                     may_have_run.is_none_or(|attempt| self.now - attempt.sent_at < class.idempotency_window);
                 assert!(in_window, "a keyed part is retried within its idempotency window only");
             }
-            Effect::NonIdempotent => {
+            Idempotency::NonIdempotent => {
                 assert!(may_have_run.is_none(), "a non-idempotent part is retried only if it never ran");
             }
         }
@@ -198,7 +198,10 @@
         let class = &self.settings.classes[query.class];
         let answered = self.answered_weight(query);
         let needed = if query.step == 1 { class.complete_share } else { 1.0 };
-        assert!(answered > class.partial_floor - WEIGHT_TOLERANCE, "none from under the floor: {answered}");
+        assert!(
+            answered > class.partial_min_share - WEIGHT_TOLERANCE,
+            "none from under the floor: {answered}"
+        );
         assert!(
             !complete || answered > needed - WEIGHT_TOLERANCE,
             "none marked complete that is not: {answered}"
@@ -208,7 +211,7 @@
 
     fn check_rejection(&self, id: Id) {
         let query = &self.queries[&id];
-        if self.settings.classes[query.class].effect == Effect::Idempotent {
+        if self.settings.classes[query.class].idempotency == Idempotency::Idempotent {
             return;
         }
         let mut attempts = query.parts.iter().flat_map(|part| &self.parts[part].attempts);
@@ -268,7 +271,7 @@
                     && self.now - attempt.sent_at < rules.overload_window
             };
             let sent = self.parts.values().flat_map(|part| &part.attempts).filter(recent).count() as f64;
-            let warmth = 0.2 + 0.8 * age.over(rules.warm_up_time);
+            let warmth = 0.2 + 0.8 * age.ratio_to(rules.warm_up_time);
             let share = self.slow_start_share();
             assert!(sent <= 2.0 * warmth * share + 1.0, "{sent} parts at warmth {warmth}, share {share}");
         }
@@ -282,7 +285,7 @@
         if self.settings.fleet_size <= 2 {
             return even;
         }
-        let seconds = (self.now - self.started_at).over(ms(1000)).max(1.0);
+        let seconds = (self.now - self.started_at).ratio_to(ms(1000)).max(1.0);
         even.max(1.5 * self.answered_parts as f64 / seconds / self.replicas.len() as f64)
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -21,7 +21,7 @@
     assert!(!at_0.is_empty(), "it is not starved");
     for first in at_0.iter().filter(|at| **at + ms(1000) - started < ms(10_000)) {
         let window = at_0.iter().filter(|at| **at >= *first && **at - *first <= ms(1000)).count() as f64;
-        let warmth = 0.2 + 0.8 * (*first + ms(1000) - started).over(ms(10_000));
+        let warmth = 0.2 + 0.8 * (*first + ms(1000) - started).ratio_to(ms(10_000));
         // Two front nodes share twice the capacity; parts cost 100 ms.
         assert!(window * 0.1 <= 0.5 * 2.0 * warmth + 0.1, "{window} parts at warmth {warmth}");
     }
@@ -57,7 +57,7 @@
     let within = |from: Micros, span| sent.iter().filter(|at| **at >= from && **at - from <= span).count();
     // Warm, the four replicas answer 100 parts a second, 25 each: twice that times the warmth is the limit.
     for at in sent.iter().filter(|at| **at - restart < ms(9_000)) {
-        let warmth = 0.2 + 0.8 * (*at - restart).over(ms(10_000));
+        let warmth = 0.2 + 0.8 * (*at - restart).ratio_to(ms(10_000));
         assert!(within(*at, ms(1000)) as f64 <= 2.0 * warmth * 25.0, "at warmth {warmth}");
     }
     // Counted from its start, an even share of one core would let the first part go after ten seconds or so.
@@ -68,7 +68,7 @@
 fn just_after_its_start_a_front_node_sends_nothing_to_a_warming_up_replica() {
     let mut world = World::new(settings(), 0);
     let mut lines: Vec<ListedReplica> = (0..4).map(|n| list_entry(n, Lifecycle::InService, None)).collect();
-    lines[0].started = Some(world.now - ms(100));
+    lines[0].started_at = Some(world.now - ms(100));
     world.deliver(vec![Event::EndpointList { replicas: lines, cached: true }]);
     for _ in 0..20 {
         let (_, actions) = world.query(0, &[0]);
