--- a/crates/member/src/relay/discovery_watch.rs
+++ b/crates/member/src/relay/discovery_watch.rs
@@ -7,7 +7,9 @@
 use hyper::body::{Bytes, Incoming};
 use hyper::header::HOST;
 use hyper::Request;
-use pinetrestle_protocol::objects::{ObjectSplitter, Piece, PieceTooLong, MAX_LIST_BYTES};
+use pinetrestle_protocol::json_stream::{
+    JsonStreamSplitter, StreamItem, StreamItemTooLong, MAX_ENDPOINT_LIST_BYTES,
+};
 use serde_json::Value;
 use slog::{info, Logger};
 use std::collections::BTreeMap;
@@ -55,7 +57,7 @@
     EndedByPeer,
     /// The connection failed.
     Reset,
-    /// A watch event was longer than [`MAX_LIST_BYTES`].
+    /// A watch event was longer than [`MAX_ENDPOINT_LIST_BYTES`].
     LineTooLong,
     /// A line was not a watch event.
     BadList,
@@ -111,7 +113,7 @@
     list: &mut BTreeMap<String, Value>,
     publisher: &ListPublisher,
 ) -> WatchEnd {
-    let mut events = ObjectSplitter::default();
+    let mut events = JsonStreamSplitter::default();
     // Only a complete event or blank line extends it: single bytes, or half a list, say nothing.
     let mut deadline = Instant::now() + SILENCE_TIMEOUT;
     loop {
@@ -124,13 +126,13 @@
         let Ok(data) = frame.into_data() else { continue };
         events.feed(&data);
         loop {
-            let piece = match events.next_piece(MAX_LIST_BYTES) {
-                Err(PieceTooLong) => return WatchEnd::LineTooLong,
+            let piece = match events.next_item(MAX_ENDPOINT_LIST_BYTES) {
+                Err(StreamItemTooLong) => return WatchEnd::LineTooLong,
                 Ok(None) => break,
                 Ok(Some(piece)) => piece,
             };
             deadline = Instant::now() + SILENCE_TIMEOUT;
-            let Piece::Text(event) = piece else { continue };
+            let StreamItem::Text(event) = piece else { continue };
             if apply_watch_event(&event, list).is_err() {
                 return WatchEnd::BadList;
             }
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -141,7 +141,7 @@
         query: Option<QueryKey>,
         keep_alive: bool,
     ) -> Result<Option<CloseReason>, CloseReason> {
-        self.socket.requests.finish();
+        self.socket.requests.finish_request();
         self.malformed_requests += u32::from(response.is_malformed);
         let close_reason = self.reason_to_close(keep_alive);
         let written = self.socket.write(response, close_reason.is_some()).await;
--- a/crates/node/src/clients/request_reader.rs
+++ b/crates/node/src/clients/request_reader.rs
@@ -8,7 +8,7 @@
 use crate::deadline::before_deadline;
 use crate::shutdown::{wait_for_phase, PhaseReceiver, ShutdownPhase};
 use pinetrestle_protocol::head::HttpError;
-use pinetrestle_protocol::requests::Progress;
+use pinetrestle_protocol::requests::RequestProgress;
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
@@ -77,13 +77,13 @@
             is_first: self.requests_read == 0,
         };
         loop {
-            match self.socket.requests.progress() {
-                Ok(Progress::Complete) => return Ok(request_began_at.unwrap_or_else(Instant::now)),
-                Ok(Progress::Partial) => {
+            match self.socket.requests.parse() {
+                Ok(RequestProgress::Complete) => return Ok(request_began_at.unwrap_or_else(Instant::now)),
+                Ok(RequestProgress::Partial) => {
                     let began_at = *request_began_at.get_or_insert_with(Instant::now);
                     self.read_rest(wait.request_deadline(transport, began_at)).await?;
                 }
-                Ok(Progress::Idle) => {
+                Ok(RequestProgress::Idle) => {
                     self.wait_for_first_bytes(transport, wait).await?;
                     request_began_at = Some(self.context.services.pause_detector.earliest_arrival());
                 }
--- a/crates/node/src/clients/response.rs
+++ b/crates/node/src/clients/response.rs
@@ -1,7 +1,7 @@
 //! The HTTP response to a client's request.
 
 use crate::host::{AdmitError, Reply};
-use pinetrestle_protocol::query::reason_body;
+use pinetrestle_protocol::query::encode_reason_body;
 use tokio::sync::oneshot::error::RecvError;
 
 /// A response on its way to a client.
@@ -24,7 +24,7 @@
 
     /// With a body that states a reason code.
     pub(super) fn reason(status: u16, code: &str) -> Response {
-        Response::json(status, reason_body(code))
+        Response::json(status, encode_reason_body(code))
     }
 
     /// To a malformed request.
--- a/crates/node/src/clients/routes.rs
+++ b/crates/node/src/clients/routes.rs
@@ -106,16 +106,16 @@
     let fields = &config.names.wire.header_names;
     let class = read_class(config, request, path)?;
     let tenant = read_tenant(config, request)?;
-    let wire_id = query::query_id(request.field(&fields.id)?)?.to_owned();
-    let expiry = Micros(query::expiry(request.field(&fields.expires)?)?);
-    let body = query::parse(request.body, &config.names.wire.body_keys, config.shards)?;
+    let wire_id = query::parse_query_id(request.field(&fields.id)?)?.to_owned();
+    let expiry = Micros(query::parse_expiry(request.field(&fields.expires)?)?);
+    let body = query::parse_query_body(request.body, &config.names.wire.body_keys, config.shards)?;
     let class_settings = &config.deployment.settings.classes[class];
     // No query waits longer than its class allows, whatever the request says.
     let expires_in = expiry.min(class_settings.deadline) - Micros(received_at.elapsed().as_micros() as i64);
     let is_client_retry = request.field(&fields.retry)? == Some("1");
     let needs_key = class_settings.effect == Effect::IdempotencyKeyed;
     let idempotency_key =
-        query::idempotency_key(request.field(&fields.idempotency_key)?, needs_key)?.map(str::to_owned);
+        query::parse_idempotency_key(request.field(&fields.idempotency_key)?, needs_key)?.map(str::to_owned);
     Ok(QueryRequest {
         wire_id,
         class,
--- a/crates/node/src/clients/socket.rs
+++ b/crates/node/src/clients/socket.rs
@@ -5,7 +5,7 @@
 use super::ClientContext;
 use crate::close_reason::CloseReason;
 use crate::deadline::before_deadline;
-use pinetrestle_protocol::requests::{response_head, Requests};
+use pinetrestle_protocol::requests::{response_head, RequestParser};
 use pinetrestle_system_calls::{is_out_of_buffers, retry_interrupted, BUFFER_RETRY_DELAY};
 use std::io::{self, ErrorKind, IoSlice};
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     context: Rc<ClientContext>,
     stream: TcpStream,
     /// The requests that were read.
-    pub(super) requests: Requests,
+    pub(super) requests: RequestParser,
     receive_times: ReceiveTimes,
     /// Bytes read.
     pub(super) bytes_in: u64,
@@ -41,7 +41,7 @@
         ClientSocket {
             context,
             stream,
-            requests: Requests::default(),
+            requests: RequestParser::default(),
             receive_times: ReceiveTimes::default(),
             bytes_in: 0,
             bytes_out: 0,
@@ -87,7 +87,7 @@
 
     /// Waits for the client to send something or to disconnect; `false` if it has disconnected.
     pub(super) async fn stays_connected(&mut self) -> bool {
-        if self.requests.wants_bytes() {
+        if self.requests.wants_read() {
             return self.read().await.is_ok();
         }
         self.receive_times.suspend_reading(Instant::now());
@@ -109,7 +109,7 @@
 
     /// Whether the client has disconnected already, just behind its request.
     pub(super) fn has_disconnected(&mut self) -> bool {
-        if !self.requests.wants_bytes() {
+        if !self.requests.wants_read() {
             return false;
         }
         match self.try_read() {
--- a/crates/node/src/close_reason.rs
+++ b/crates/node/src/close_reason.rs
@@ -146,7 +146,7 @@
         match error {
             WatchError::Http(error) => CloseReason::Http(error),
             WatchError::Status(_) => CloseReason::UnexpectedStatus,
-            WatchError::List(_) => CloseReason::BadEndpointList,
+            WatchError::EndpointList(_) => CloseReason::BadEndpointList,
         }
     }
 }
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -188,7 +188,7 @@
 fn read_initial_list(file: &Value, names: &DeploymentNames) -> Parsed<ListUpdate> {
     match file.get("known") {
         None | Some(Value::Null) => Ok(ListUpdate { version: 0, complete: true, entries: Vec::new() }),
-        Some(known) => endpoint_list::read_update(known, &names.wire)
+        Some(known) => endpoint_list::list_update_from_json(known, &names.wire)
             .map_err(|error| FieldError::new(&error.key, "is missing or malformed").within("known")),
     }
 }
--- a/crates/node/src/config/names.rs
+++ b/crates/node/src/config/names.rs
@@ -1,7 +1,7 @@
 //! The names of one deployment: those on its sockets and the keys of its settings.
 
 use crate::error::NodeError;
-use pinetrestle_protocol::names::Names;
+use pinetrestle_protocol::names::WireNames;
 use pinetrestle_settings::KeyAliases;
 use serde_json::Value;
 use std::path::Path;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentNames {
     /// Header fields, paths, body keys and frame letters on the sockets.
-    pub wire: Rc<Names>,
+    pub wire: Rc<WireNames>,
     /// Keys of the settings object.
     pub setting_keys: KeyAliases,
 }
@@ -29,7 +29,7 @@
     ) -> Result<DeploymentNames, NodeError> {
         let mut names = DeploymentNames::default();
         if let Some(path) = wire {
-            let wire = Names::read(&read_json(path)?)
+            let wire = WireNames::read(&read_json(path)?)
                 .map_err(|source| NodeError::WireNames { path: path.to_owned(), source })?;
             names.wire = Rc::new(wire);
         }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -7,8 +7,8 @@
 use crate::counters::Counters;
 use crate::deadline::before_deadline;
 use crate::messages::Message;
-use pinetrestle_protocol::endpoint_list::{watch_request, ListUpdate};
-use pinetrestle_protocol::watch::{Watch, WatchEvent};
+use pinetrestle_protocol::endpoint_list::{encode_watch_request, ListUpdate};
+use pinetrestle_protocol::watch::{WatchDecoder, WatchEvent};
 use pinetrestle_protocol::watch_supervisor::{WatchAction, WatchSupervisor, WatchTimeouts};
 use pinetrestle_system_calls::{connect, is_transient_local_error, read, write_all};
 use slog::{info, Logger};
@@ -125,8 +125,8 @@
         reports: &mpsc::Sender<WatchReport>,
     ) {
         match action {
-            WatchAction::Open { number, address, after } => {
-                running.insert(number, self.open_watch(number, address, after, reports.clone()));
+            WatchAction::Open { watch_id, address, after } => {
+                running.insert(watch_id, self.open_watch(watch_id, address, after, reports.clone()));
             }
             WatchAction::Close(number) => drop(running.remove(&number)),
             // The receiver is there as long as the program serves.
@@ -216,7 +216,7 @@
             Some(Ok(stream)) => stream,
         };
         let names = self.live_config.get().names.wire.clone();
-        let request = watch_request(&names, &self.address.to_string(), self.after);
+        let request = encode_watch_request(&names, &self.address.to_string(), self.after);
         match before_deadline(begun + self.line_timeout(), write_all(&stream, &request)).await {
             Some(Ok(())) => Ok(stream),
             _ => Err(CloseReason::WriteFailed),
@@ -226,7 +226,7 @@
     async fn receive(&mut self, stream: &TcpStream, begun: Instant) -> CloseReason {
         // Only a complete line counts as a sign of life: bytes that trickle, or half a line, carry nothing.
         let mut last_line_at = begun;
-        let mut watch = Watch::new(self.live_config.get().names.wire.clone());
+        let mut watch = WatchDecoder::new(self.live_config.get().names.wire.clone());
         let mut buffer = vec![0; READ_SIZE];
         loop {
             let deadline = last_line_at + self.line_timeout();
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a front node can't start or can't go on.
 
 use pinetrestle_operator::FileError;
-use pinetrestle_protocol::names::NamesError;
+use pinetrestle_protocol::names::WireNamesError;
 use pinetrestle_settings::fields::FieldError;
 use std::io;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
         /// The file.
         path: PathBuf,
         /// The key at fault.
-        source: NamesError,
+        source: WireNamesError,
     },
     /// The file of setting keys has a value that is no name.
     #[error("{}: {source}", path.display())]
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -212,7 +212,7 @@
 
     fn on_connection_closed(&mut self, now: Micros, replica: ReplicaId, number: u64, local_fault: bool) {
         let closed = self.pools.connection_closed(replica, number);
-        for LostAttempt { attempt_id, written } in closed.in_flight {
+        for LostAttempt { attempt_id, written } in closed.lost_attempts {
             if local_fault {
                 self.host.attempt_not_sent(now, attempt_id);
             } else {
@@ -220,7 +220,7 @@
             }
         }
         // No byte of these calls was written: they are sent again, if their index server is still in service.
-        for parts in closed.unsent {
+        for parts in closed.unsent_calls {
             self.send(replica, parts, now);
         }
     }
--- a/crates/node/src/host/actions.rs
+++ b/crates/node/src/host/actions.rs
@@ -139,7 +139,7 @@
         let outgoing = may_send.then(|| OutgoingPart {
             // The id follows once the attempt is entered.
             attempt_id: 0,
-            query: query_key(&query.wire_id),
+            query_key: query_key(&query.wire_id),
             id: part_id(&query.wire_id, part.shard, second_step_name),
             shard: part.shard,
             attributes: format!("{}{}", query.idempotency_options, query.second_step_options),
--- a/crates/node/src/host/admission.rs
+++ b/crates/node/src/host/admission.rs
@@ -5,7 +5,7 @@
 use super::timers::Timer;
 use super::Host;
 use pinetrestle::interface::{Event, Id, Micros};
-use pinetrestle_protocol::frames::key_attribute;
+use pinetrestle_protocol::frames::idempotency_key_attribute;
 use pinetrestle_protocol::query::RequestedPart;
 
 impl Host {
@@ -20,7 +20,8 @@
 
         let mut query =
             self.queries.new_query(request.wire_id, request.text, request.class, now + expires_in);
-        query.idempotency_options = request.idempotency_key.as_deref().map(key_attribute).unwrap_or_default();
+        query.idempotency_options =
+            request.idempotency_key.as_deref().map(idempotency_key_attribute).unwrap_or_default();
         let id = self.next_free_id();
         self.events.push(Event::Query {
             id,
@@ -52,7 +53,7 @@
             number: query.number,
             shard: requested.shard,
             weight: requested.weight,
-            work_hint: requested.work_us.map(Micros),
+            work_hint: requested.work_hint_us.map(Micros),
         });
         self.queries.insert_part(id, OpenPart::new(query_id, requested.shard, query.step));
         query.parts.push(id);
@@ -92,6 +93,6 @@
 
 /// The work of all parts together, if any part states its work.
 fn total_work(parts: &[RequestedPart]) -> Option<Micros> {
-    let stated: Vec<i64> = parts.iter().filter_map(|part| part.work_us).collect();
+    let stated: Vec<i64> = parts.iter().filter_map(|part| part.work_hint_us).collect();
     (!stated.is_empty()).then(|| Micros(stated.iter().sum()))
 }
--- a/crates/node/src/host/replies.rs
+++ b/crates/node/src/host/replies.rs
@@ -6,7 +6,7 @@
 use crate::counters::QueryCounters;
 use pinetrestle::interface::Id;
 use pinetrestle_protocol::frames::{second_step_attributes, Score};
-use pinetrestle_protocol::query::{answer_body, RequestedPart};
+use pinetrestle_protocol::query::{encode_answer_body, RequestedPart};
 use std::cmp::Ordering;
 
 /// A shard that answered in the first step, and the score of its answer.
@@ -36,7 +36,7 @@
         let complete = complete && (query.step == QueryStep::First || query.first_step_complete);
         let parts = self.queries.parts_of_step(query, query.step);
         let values = parts.filter_map(|part| Some((part.shard, part.answer.as_ref()?.value.as_str())));
-        let body = answer_body(&self.body_names, complete, values);
+        let body = encode_answer_body(&self.body_names, complete, values);
         self.finish_query(id, Reply::Served { body, complete }, |queries| {
             let counter = if complete { &queries.complete } else { &queries.partial };
             counter.increment();
@@ -60,7 +60,7 @@
         query.second_step_options = second_step_attributes(&answered_shards, first_step_complete);
         let weight = 1.0 / answered.len() as f64;
         for scored in &answered {
-            let requested = RequestedPart { shard: scored.shard, weight, work_us: None };
+            let requested = RequestedPart { shard: scored.shard, weight, work_hint_us: None };
             self.add_part(id, &mut query, &requested);
         }
         self.count_query(query.class, |queries| queries.second_steps.increment());
--- a/crates/node/src/upstream/driver.rs
+++ b/crates/node/src/upstream/driver.rs
@@ -84,7 +84,7 @@
             if self.connection.link.borrow().has_expired_partial_write(now) {
                 return CloseReason::WriteStalled;
             }
-            self.connection.link.borrow_mut().refresh_deadlines(now);
+            self.connection.link.borrow_mut().refresh_times_left(now);
             match transfer.write_pending(stream) {
                 Ok(()) => {}
                 Err(error) if is_out_of_buffers(&error) => {
@@ -108,7 +108,7 @@
     async fn withdraw_expired(&self, now: u64) {
         let is_expired =
             |part: &OutgoingPart| part.deadline_us <= now || part.start_before_us.is_some_and(|by| by <= now);
-        let expired = self.connection.link.borrow_mut().withdraw_unwritten(is_expired);
+        let expired = self.connection.link.borrow_mut().withdraw_unstarted(is_expired);
         if !expired.is_empty() {
             self.shared.send(Message::AttemptsUnsent(expired)).await;
         }
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -210,10 +210,10 @@
     pub(crate) fn connection_closed(&mut self, replica: ReplicaId, number: u64) -> ClosedConnection {
         let Some(connection) = self.remove(replica, number) else { return ClosedConnection::default() };
         let closed = connection.link.take().close();
-        for attempt in &closed.in_flight {
+        for attempt in &closed.lost_attempts {
             self.by_attempt.remove(&attempt.attempt_id);
         }
-        for part in closed.unsent.iter().flatten() {
+        for part in closed.unsent_calls.iter().flatten() {
             self.by_attempt.remove(&part.attempt_id);
         }
         closed
@@ -235,7 +235,7 @@
         let mut unsent = Vec::new();
         for connection in self.by_replica.get(&replica).into_iter().flatten() {
             connection.close_to_calls();
-            unsent.extend(connection.link.borrow_mut().withdraw_unwritten(|_| true));
+            unsent.extend(connection.link.borrow_mut().withdraw_unstarted(|_| true));
             connection.wake();
         }
         self.attempts_withdrawn(&unsent);
@@ -245,7 +245,7 @@
     /// Withdraws an attempt if nothing of it is written yet; returns whether it was withdrawn.
     pub(crate) fn withdraw(&mut self, attempt_id: AttemptId) -> bool {
         let Some(connection) = self.by_attempt.get(&attempt_id) else { return false };
-        let withdrawn = connection.link.borrow_mut().withdraw_unwritten(|part| part.attempt_id == attempt_id);
+        let withdrawn = connection.link.borrow_mut().withdraw_unstarted(|part| part.attempt_id == attempt_id);
         connection.wake();
         self.attempts_withdrawn(&withdrawn);
         !withdrawn.is_empty()
--- a/crates/node/src/upstream/transfer.rs
+++ b/crates/node/src/upstream/transfer.rs
@@ -193,16 +193,16 @@
         let instruments = &self.shared.instruments;
         if let WriteEvent::Started(part) = written {
             let past_deadline = part.latest_start_us() + LATE_TOLERANCE_MICROS <= self.shared.now_micros();
-            let begun = PartStart { query: part.query, replica: self.connection.replica, past_deadline };
+            let begun = PartStart { query: part.query_key, replica: self.connection.replica, past_deadline };
             instruments.invariants.part_started(begun);
         }
         instruments.recorder.record(|| {
             let record = match written {
                 WriteEvent::Started(part) => Record::for_part(Step::FirstByteWritten, &part.id),
-                WriteEvent::Complete { id, parts } => {
+                WriteEvent::Completed { id, parts } => {
                     Record::for_part(Step::LastByteWritten, id).with_value(parts as u64)
                 }
-                WriteEvent::Cancelled(id) => Record::for_part(Step::CancelWritten, id),
+                WriteEvent::CancelCompleted(id) => Record::for_part(Step::CancelWritten, id),
             };
             record.on_connection(self.connection.number)
         });
--- a/crates/node/tests/deployment_isolation.rs
+++ b/crates/node/tests/deployment_isolation.rs
@@ -2,7 +2,7 @@
 //! configuration is the other deployment's.
 
 use pinetrestle_node::config::DeploymentNames;
-use pinetrestle_protocol::names::Names;
+use pinetrestle_protocol::names::WireNames;
 use pinetrestle_standins::{
     config_json, entries, eventually, list, query, with_setting_aliases, Client, Discovery, Program, Server,
     ServerBehavior,
@@ -172,7 +172,7 @@
         let file = |name: &str| sites.join(variant).join(name);
         let names = DeploymentNames::from_files(Some(&file("real.json")), Some(&file("wire.json")))
             .expect("good files");
-        assert_ne!(*names.wire, Names::default());
+        assert_ne!(*names.wire, WireNames::default());
     }
     let error = DeploymentNames::from_files(Some(&sites.join("vesna-pushed/vesna-pushed.toml")), None);
     assert!(error.expect_err("no JSON").to_string().contains("vesna-pushed.toml"));
--- a/crates/node/tests/host/harness.rs
+++ b/crates/node/tests/host/harness.rs
@@ -130,7 +130,7 @@
         self.submitted += 1;
         let weight = 1.0 / shards.len() as f64;
         let parts =
-            shards.iter().map(|shard| RequestedPart { shard: *shard, weight, work_us: None }).collect();
+            shards.iter().map(|shard| RequestedPart { shard: *shard, weight, work_hint_us: None }).collect();
         let request = QueryRequest {
             wire_id: format!("q{}", self.submitted),
             class,
--- a/crates/node/tests/list_change_latency/main.rs
+++ b/crates/node/tests/list_change_latency/main.rs
@@ -151,7 +151,7 @@
     for poll in 0..20 {
         for action in watches.request_watch(Duration::from_millis(100 * poll), timeouts) {
             match action {
-                WatchAction::Open { number, .. } => opened.push(number),
+                WatchAction::Open { watch_id, .. } => opened.push(watch_id),
                 other => panic!("{other:?}"),
             }
         }
--- a/crates/node/tests/list_change_latency/simulation.rs
+++ b/crates/node/tests/list_change_latency/simulation.rs
@@ -190,11 +190,11 @@
     fn execute(&mut self, actions: Vec<WatchAction<u8>>, choose_outcome: &mut ChooseOutcome<'_>) {
         for action in actions {
             match action {
-                WatchAction::Open { number, address, .. } => {
+                WatchAction::Open { watch_id, address, .. } => {
                     let outcome = choose_outcome(self.now, address);
                     let begun = self.now;
                     let call = Call { address, begun, outcome, last_line: None, received_version: 0 };
-                    self.calls.insert(number, call);
+                    self.calls.insert(watch_id, call);
                     self.calls_made.push(self.now);
                 }
                 WatchAction::Close(number) => drop(self.calls.remove(&number)),
--- a/crates/protocol/src/chunks.rs
+++ b/crates/protocol/src/chunks.rs
@@ -48,7 +48,7 @@
     /// them, unless the body ends before.
     ///
     /// # Errors
-    /// [`HttpError::BadChunk`] on malformed framing; [`HttpError::BodyTooLong`] as soon as a chunk size would make
+    /// [`HttpError::BadChunkedCoding`] on malformed framing; [`HttpError::BodyTooLong`] as soon as a chunk size would make
     /// the body longer than `max_body_bytes`, before the data of that chunk is read.
     pub(crate) fn decode(
         &mut self,
@@ -88,10 +88,14 @@
     fn push_line_byte(&mut self, byte: u8) -> Result<bool, HttpError> {
         if byte != b'\n' {
             self.line.push(byte);
-            return if self.line.len() > MAX_LINE_BYTES { Err(HttpError::BadChunk) } else { Ok(false) };
+            return if self.line.len() > MAX_LINE_BYTES {
+                Err(HttpError::BadChunkedCoding)
+            } else {
+                Ok(false)
+            };
         }
         if self.line.pop() != Some(b'\r') {
-            return Err(HttpError::BadChunk);
+            return Err(HttpError::BadChunkedCoding);
         }
         Ok(true)
     }
@@ -99,7 +103,7 @@
     /// Acts on the completed line and clears it.
     fn finish_line(&mut self) -> Result<(), HttpError> {
         if self.line.iter().any(|byte| byte.is_ascii_control() && *byte != b'\t') {
-            return Err(HttpError::BadChunk);
+            return Err(HttpError::BadChunkedCoding);
         }
         self.state = match self.state {
             State::Size => match parse_chunk_size(&self.line)? {
@@ -107,12 +111,12 @@
                 size => State::Data(size),
             },
             State::DataEnd if self.line.is_empty() => State::Size,
-            State::DataEnd => return Err(HttpError::BadChunk),
+            State::DataEnd => return Err(HttpError::BadChunkedCoding),
             State::Trailer if self.line.is_empty() => State::Done,
             State::Trailer => {
                 self.trailer_lines += 1;
                 if self.trailer_lines > MAX_TRAILER_LINES {
-                    return Err(HttpError::BadChunk);
+                    return Err(HttpError::BadChunkedCoding);
                 }
                 State::Trailer
             }
@@ -130,8 +134,8 @@
         && digits.len() <= MAX_SIZE_DIGITS
         && digits.iter().all(|byte| byte.is_ascii_hexdigit());
     if !is_valid {
-        return Err(HttpError::BadChunk);
+        return Err(HttpError::BadChunkedCoding);
     }
-    let text = std::str::from_utf8(digits).map_err(|_| HttpError::BadChunk)?;
-    usize::from_str_radix(text, 16).map_err(|_| HttpError::BadChunk)
+    let text = std::str::from_utf8(digits).map_err(|_| HttpError::BadChunkedCoding)?;
+    usize::from_str_radix(text, 16).map_err(|_| HttpError::BadChunkedCoding)
 }
--- a/crates/protocol/src/connection/mod.rs
+++ b/crates/protocol/src/connection/mod.rs
@@ -7,7 +7,7 @@
 mod outgoing;
 mod recent_ids;
 
-use crate::frames::{Frame, FrameError, Frames, PartOutcome, Score};
+use crate::frames::{Frame, FrameDecoder, FrameError, PartOutcome, Score};
 use crate::names::FrameFormat;
 use outgoing::WriteQueue;
 pub use outgoing::{OutgoingPart, WriteEvent};
@@ -70,15 +70,15 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct ClosedConnection {
     /// Attempts that were in flight, by ascending id.
-    pub in_flight: Vec<LostAttempt>,
+    pub lost_attempts: Vec<LostAttempt>,
     /// Calls whose write had not started, on a connection that had answered before. They may go to another one.
-    pub unsent: Vec<Vec<OutgoingPart>>,
+    pub unsent_calls: Vec<Vec<OutgoingPart>>,
 }
 
 /// State of one connection to an index server.
 #[derive(Debug, Default)]
 pub struct ConnectionState {
-    received: Frames,
+    received: FrameDecoder,
     queue: WriteQueue,
     /// Attempts in flight by part id.
     attempts: HashMap<String, AttemptId>,
@@ -102,7 +102,7 @@
     /// A new connection to an index server whose frames have this format.
     pub fn new(format: Rc<FrameFormat>) -> ConnectionState {
         ConnectionState {
-            received: Frames::new(format.clone()),
+            received: FrameDecoder::new(format.clone()),
             queue: WriteQueue::new(format),
             ..ConnectionState::default()
         }
@@ -132,7 +132,7 @@
     /// is queued where `notify` allows it. Returns the part, or `None` if the attempt is not in flight here.
     pub fn cancel(&mut self, attempt_id: AttemptId, notify: bool) -> Option<CancelledPart> {
         let id = self.part_ids.get(&attempt_id)?.clone();
-        if !self.withdraw_unwritten(|part| part.attempt_id == attempt_id).is_empty() {
+        if !self.withdraw_unstarted(|part| part.attempt_id == attempt_id).is_empty() {
             return Some(CancelledPart { id, withdrawn: true });
         }
         self.forget(attempt_id);
@@ -146,7 +146,7 @@
 
     /// Withdraws the parts that satisfy `predicate` from calls whose write has not started; calls left without parts
     /// are dropped. Returns the attempts withdrawn.
-    pub fn withdraw_unwritten(&mut self, predicate: impl Fn(&OutgoingPart) -> bool) -> Vec<AttemptId> {
+    pub fn withdraw_unstarted(&mut self, predicate: impl Fn(&OutgoingPart) -> bool) -> Vec<AttemptId> {
         let withdrawn = self.queue.withdraw(predicate);
         for attempt_id in &withdrawn {
             self.forget(*attempt_id);
@@ -163,8 +163,8 @@
 
     /// Updates the time left in calls whose write has not started: they may have waited since they were queued, for
     /// the connection, for room on it, or on another one that has closed.
-    pub fn refresh_deadlines(&mut self, now_us: u64) {
-        self.queue.refresh_deadlines(now_us);
+    pub fn refresh_times_left(&mut self, now_us: u64) {
+        self.queue.refresh_times_left(now_us);
     }
 
     /// Whether a call is partly written and has a part, cancelled or not, that must not start any more. Only closing
@@ -213,7 +213,9 @@
         mut report: impl FnMut(ReceivedAnswer<'_>),
     ) -> Result<Option<AttemptAnswer>, FrameError> {
         while let Some(frame) = self.received.next_frame()? {
-            let Frame::Answer { id, outcome, score, value } = frame else { return Err(FrameError::Rejected) };
+            let Frame::Answer { id, outcome, score, value } = frame else {
+                return Err(FrameError::FrameRejected);
+            };
             let attempt_id = self.accept_answer(&id)?;
             report(ReceivedAnswer { id: &id, outcome, late: attempt_id.is_none() });
             if let Some(attempt_id) = attempt_id {
@@ -261,19 +263,19 @@
     /// Closes the connection and returns what was in flight. If it had answered before, as when an index server
     /// closes it between two answers, calls whose write had not started are returned to be sent elsewhere.
     pub fn close(mut self) -> ClosedConnection {
-        let mut unsent = self.queue.take_unstarted_calls();
+        let mut unsent_calls = self.queue.take_unstarted_calls();
         if !self.has_answered {
-            unsent.clear();
+            unsent_calls.clear();
         }
-        for part in unsent.iter().flatten() {
+        for part in unsent_calls.iter().flatten() {
             self.attempts.remove(&part.id);
         }
         let queue = &self.queue;
         let attempts = self.attempts.values().copied();
-        let mut in_flight: Vec<LostAttempt> = attempts
+        let mut lost_attempts: Vec<LostAttempt> = attempts
             .map(|attempt_id| LostAttempt { attempt_id, written: !queue.is_unwritten(attempt_id) })
             .collect();
-        in_flight.sort_unstable();
-        ClosedConnection { in_flight, unsent }
+        lost_attempts.sort_unstable();
+        ClosedConnection { lost_attempts, unsent_calls }
     }
 }
--- a/crates/protocol/src/connection/outgoing.rs
+++ b/crates/protocol/src/connection/outgoing.rs
@@ -16,7 +16,7 @@
     /// The host's number for the attempt.
     pub attempt_id: AttemptId,
     /// The host's number for the query.
-    pub query: u64,
+    pub query_key: u64,
     /// Id of the part on the wire.
     pub id: String,
     /// Shard that is searched.
@@ -47,14 +47,14 @@
     /// The first byte of the frame with this part was written.
     Started(&'a OutgoingPart),
     /// The last byte of the frame with this part was written.
-    Complete {
+    Completed {
         /// Id of the part.
         id: &'a str,
         /// Parts of the frame.
         parts: usize,
     },
     /// The last byte of the frame that cancels the part of this id was written.
-    Cancelled(&'a str),
+    CancelCompleted(&'a str),
 }
 
 /// A frame in the queue.
@@ -156,7 +156,7 @@
     }
 
     /// Updates the time left in calls whose write has not started.
-    pub(super) fn refresh_deadlines(&mut self, now_us: u64) {
+    pub(super) fn refresh_times_left(&mut self, now_us: u64) {
         for index in self.started_frames()..self.frames.len() {
             let frame = &self.frames[index];
             if !frame.parts.is_empty() && frame.encoded_at_us + DEADLINE_RESOLUTION_US <= now_us {
@@ -241,10 +241,10 @@
         self.queued_bytes -= frame.bytes.len();
         for part in &frame.parts {
             self.unwritten.remove(&part.attempt_id);
-            report(WriteEvent::Complete { id: &part.id, parts: frame.parts.len() });
+            report(WriteEvent::Completed { id: &part.id, parts: frame.parts.len() });
         }
         if let Some(id) = frame.cancelled_id() {
-            report(WriteEvent::Cancelled(id));
+            report(WriteEvent::CancelCompleted(id));
         }
     }
 
--- a/crates/protocol/src/endpoint_list.rs
+++ b/crates/protocol/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: the index servers that discovery knows, complete or as changes to an earlier version.
 
-use crate::names::{EndpointListKeys, Names};
+use crate::names::{EndpointListKeys, WireNames};
 use serde_json::Value;
 
 /// Start times are below this, in milliseconds of Unix time.
@@ -74,16 +74,16 @@
 ///
 /// # Errors
 /// [`EndpointListError`], the first fault found.
-pub fn parse(line: &[u8], names: &Names) -> Result<ListUpdate, EndpointListError> {
+pub fn parse_list_update(line: &[u8], names: &WireNames) -> Result<ListUpdate, EndpointListError> {
     let value = serde_json::from_slice(line).map_err(|_| EndpointListError::NotJson)?;
-    Ok(read_update(&value, names)?)
+    Ok(list_update_from_json(&value, names)?)
 }
 
 /// Reads an endpoint list from a JSON value.
 ///
 /// # Errors
 /// [`InvalidField`], the first one found.
-pub fn read_update(value: &Value, names: &Names) -> Result<ListUpdate, InvalidField> {
+pub fn list_update_from_json(value: &Value, names: &WireNames) -> Result<ListUpdate, InvalidField> {
     let keys = &names.endpoint_list_keys;
     let field = |key: &str| value.get(key).ok_or_else(|| invalid_field(key));
     let version = field(&keys.version)?.as_u64().ok_or_else(|| invalid_field(&keys.version))?;
@@ -93,7 +93,7 @@
     Ok(ListUpdate { version, complete, entries })
 }
 
-fn read_entry(value: &Value, names: &Names) -> Result<EndpointEntry, InvalidField> {
+fn read_entry(value: &Value, names: &WireNames) -> Result<EndpointEntry, InvalidField> {
     let keys = &names.endpoint_list_keys;
     let name = string_field(value, &keys.name)?.to_owned();
     let address = string_field(value, &keys.address).unwrap_or_default().to_owned();
@@ -111,9 +111,9 @@
     value.get(key).and_then(Value::as_str).ok_or_else(|| invalid_field(key))
 }
 
-fn read_status(value: &Value, names: &Names) -> Result<Status, InvalidField> {
+fn read_status(value: &Value, names: &WireNames) -> Result<Status, InvalidField> {
     let key = &names.endpoint_list_keys.status;
-    let states = &names.status_names;
+    let states = &names.status_values;
     match string_field(value, key)? {
         status if status == states.up => Ok(Status::Up),
         status if status == states.draining => Ok(Status::Draining),
@@ -153,7 +153,7 @@
 }
 
 /// Encodes the HTTP request for a watch on the changes after a version; 0 for the complete list.
-pub fn watch_request(names: &Names, host: &str, after: u64) -> Vec<u8> {
+pub fn encode_watch_request(names: &WireNames, host: &str, after: u64) -> Vec<u8> {
     let path = &names.paths.list;
     let parameters = &names.watch_parameters;
     let target = format!("{path}?{}=1&{}={after}", parameters.watch, parameters.after);
--- a/crates/protocol/src/frames.rs
+++ b/crates/protocol/src/frames.rs
@@ -30,44 +30,44 @@
 pub enum FrameError {
     /// The length is 0 or above [`MAX_FRAME_BYTES`].
     #[error("frame length is 0 or above {MAX_FRAME_BYTES} bytes")]
-    Length,
+    InvalidLength,
     /// The type byte is none that index servers send.
     #[error("unknown frame type")]
     UnknownType,
     /// The line of an answer is malformed or too long.
     #[error("malformed answer line")]
-    Line,
+    MalformedAnswerLine,
     /// The value of an answer is not text.
     #[error("answer value is not text")]
-    Value,
+    InvalidAnswerValue,
     /// An answer to a part that was not sent on this connection.
     #[error("answer to a part that was not sent on this connection")]
     UnknownPart,
     /// The index server rejected a frame that it was sent.
     #[error("index server rejected a frame")]
-    Rejected,
+    FrameRejected,
 }
 
 impl FrameError {
     /// Every variant, for tables of codes.
     pub const ALL: &'static [FrameError] = &[
-        FrameError::Length,
+        FrameError::InvalidLength,
         FrameError::UnknownType,
-        FrameError::Line,
-        FrameError::Value,
+        FrameError::MalformedAnswerLine,
+        FrameError::InvalidAnswerValue,
         FrameError::UnknownPart,
-        FrameError::Rejected,
+        FrameError::FrameRejected,
     ];
 
     /// The stable code used in counters and in the log.
     pub fn code(self) -> &'static str {
         match self {
-            FrameError::Length => "bad_frame_length",
+            FrameError::InvalidLength => "bad_frame_length",
             FrameError::UnknownType => "bad_frame_letter",
-            FrameError::Line => "bad_frame_line",
-            FrameError::Value => "bad_frame_value",
+            FrameError::MalformedAnswerLine => "bad_frame_line",
+            FrameError::InvalidAnswerValue => "bad_frame_value",
             FrameError::UnknownPart => "unknown_part",
-            FrameError::Rejected => "frame_rejected",
+            FrameError::FrameRejected => "frame_rejected",
         }
     }
 }
@@ -134,7 +134,7 @@
     pub shard: u32,
     /// Time left until the deadline, in milliseconds.
     pub time_left_ms: u64,
-    /// Further attributes, each with a comma before it ([`key_attribute`], [`second_step_attributes`]).
+    /// Further attributes, each with a comma before it ([`idempotency_key_attribute`], [`second_step_attributes`]).
     pub attributes: &'a str,
     /// Text of the query.
     pub text: &'a str,
@@ -169,7 +169,7 @@
 }
 
 /// The attribute with the idempotency key of a query, by which an index server recognises a retry.
-pub fn key_attribute(key: &str) -> String {
+pub fn idempotency_key_attribute(key: &str) -> String {
     format!(",k={key}")
 }
 
@@ -186,7 +186,7 @@
 
 /// Incremental decoder of the frames of one index server.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     format: Rc<FrameFormat>,
     /// Received bytes that belong to no returned frame.
     buffer: Vec<u8>,
@@ -196,10 +196,10 @@
     pub complete_frames: u64,
 }
 
-impl Frames {
+impl FrameDecoder {
     /// A decoder of frames in this format.
-    pub fn new(format: Rc<FrameFormat>) -> Frames {
-        Frames { format, ..Frames::default() }
+    pub fn new(format: Rc<FrameFormat>) -> FrameDecoder {
+        FrameDecoder { format, ..FrameDecoder::default() }
     }
 
     /// Appends received bytes.
@@ -221,7 +221,7 @@
         let decode_length = if self.format.little_endian { u32::from_le_bytes } else { u32::from_be_bytes };
         let length = decode_length(*length) as usize;
         if length == 0 || length > MAX_FRAME_BYTES {
-            return Err(FrameError::Length);
+            return Err(FrameError::InvalidLength);
         }
         let end = LENGTH_BYTES + length;
         if self.buffer.len() < end {
@@ -254,7 +254,7 @@
         // With the line feed the search is over: the value follows it.
         self.scanned = line_feed.map_or(self.buffer.len(), |position| from + position);
         if self.scanned > HEADER_BYTES + MAX_ANSWER_LINE_BYTES {
-            return Err(FrameError::Line);
+            return Err(FrameError::MalformedAnswerLine);
         }
         Ok(())
     }
@@ -270,20 +270,22 @@
     }
 
     fn decode_answer(&self, payload: &[u8]) -> Result<Frame, FrameError> {
-        let line_end = payload.iter().position(|byte| *byte == b'\n').ok_or(FrameError::Line)?;
+        let line_end =
+            payload.iter().position(|byte| *byte == b'\n').ok_or(FrameError::MalformedAnswerLine)?;
         if line_end > MAX_ANSWER_LINE_BYTES {
-            return Err(FrameError::Line);
+            return Err(FrameError::MalformedAnswerLine);
         }
         // The load report is the rest of the line. None is requested on this connection, so its bytes are not checked.
         let fields: Vec<&[u8]> = payload[..line_end].splitn(4, |byte| *byte == b' ').collect();
-        let [id, outcome, score, _report] = fields[..] else { return Err(FrameError::Line) };
+        let [id, outcome, score, _report] = fields[..] else { return Err(FrameError::MalformedAnswerLine) };
         let id = line_field(id)?.to_owned();
         let score = line_field(score)?;
-        let outcome = self.parse_outcome(line_field(outcome)?).ok_or(FrameError::Line)?;
-        let score = Score::parse(score).ok_or(FrameError::Line)?;
-        let value = std::str::from_utf8(&payload[line_end + 1..]).map_err(|_| FrameError::Value)?;
+        let outcome = self.parse_outcome(line_field(outcome)?).ok_or(FrameError::MalformedAnswerLine)?;
+        let score = Score::parse(score).ok_or(FrameError::MalformedAnswerLine)?;
+        let value =
+            std::str::from_utf8(&payload[line_end + 1..]).map_err(|_| FrameError::InvalidAnswerValue)?;
         if !is_plain_text(value) {
-            return Err(FrameError::Value);
+            return Err(FrameError::InvalidAnswerValue);
         }
         Ok(Frame::Answer { id, outcome, score, value: value.to_owned() })
     }
@@ -297,7 +299,7 @@
 
 /// A field of an answer line as text.
 fn line_field(bytes: &[u8]) -> Result<&str, FrameError> {
-    std::str::from_utf8(bytes).map_err(|_| FrameError::Line)
+    std::str::from_utf8(bytes).map_err(|_| FrameError::MalformedAnswerLine)
 }
 
 /// Whether a value is text as index servers send it. Any other control character shows a wrong frame length: the
--- a/crates/protocol/src/head.rs
+++ b/crates/protocol/src/head.rs
@@ -17,10 +17,10 @@
 pub enum HttpError {
     /// Malformed request line or status line (RFC 9112 sections 3 and 4).
     #[error("malformed start line")]
-    BadStart,
+    BadStartLine,
     /// Malformed field line (RFC 9112 section 5).
     #[error("malformed header field")]
-    BadField,
+    BadHeaderField,
     /// The head has more than [`MAX_HEAD_BYTES`] bytes or too many field lines.
     #[error("head exceeds {MAX_HEAD_BYTES} bytes or {MAX_FIELDS} fields")]
     HeadTooLong,
@@ -29,13 +29,13 @@
     BadVersion,
     /// Invalid, repeated or contradictory `Content-Length` (RFC 9112 section 6.3).
     #[error("invalid or ambiguous Content-Length")]
-    BadLength,
+    BadContentLength,
     /// A transfer coding other than exactly `chunked` (RFC 9112 section 6.1).
     #[error("unsupported transfer coding")]
-    BadCoding,
+    BadTransferCoding,
     /// Malformed chunked coding (RFC 9112 section 7.1).
     #[error("malformed chunked body")]
-    BadChunk,
+    BadChunkedCoding,
     /// The body, or one line of it, exceeds its limit.
     #[error("body or body line too long")]
     BodyTooLong,
@@ -44,26 +44,26 @@
 impl HttpError {
     /// Every variant, for tables of codes.
     pub const ALL: &'static [HttpError] = &[
-        HttpError::BadStart,
-        HttpError::BadField,
+        HttpError::BadStartLine,
+        HttpError::BadHeaderField,
         HttpError::HeadTooLong,
         HttpError::BadVersion,
-        HttpError::BadLength,
-        HttpError::BadCoding,
-        HttpError::BadChunk,
+        HttpError::BadContentLength,
+        HttpError::BadTransferCoding,
+        HttpError::BadChunkedCoding,
         HttpError::BodyTooLong,
     ];
 
     /// The stable code used on the wire, in counters and in the log.
     pub fn code(self) -> &'static str {
         match self {
-            HttpError::BadStart => "bad_start",
-            HttpError::BadField => "bad_field",
+            HttpError::BadStartLine => "bad_start",
+            HttpError::BadHeaderField => "bad_field",
             HttpError::HeadTooLong => "head_too_long",
             HttpError::BadVersion => "bad_version",
-            HttpError::BadLength => "bad_length",
-            HttpError::BadCoding => "bad_coding",
-            HttpError::BadChunk => "bad_chunk",
+            HttpError::BadContentLength => "bad_length",
+            HttpError::BadTransferCoding => "bad_coding",
+            HttpError::BadChunkedCoding => "bad_chunk",
             HttpError::BodyTooLong => "body_too_long",
         }
     }
@@ -73,7 +73,7 @@
         match self {
             HttpError::HeadTooLong => 431,
             HttpError::BadVersion => 505,
-            HttpError::BadCoding => 501,
+            HttpError::BadTransferCoding => 501,
             HttpError::BodyTooLong => 413,
             _ => 400,
         }
@@ -88,7 +88,7 @@
     /// By the chunked transfer coding.
     Chunked,
     /// By neither field.
-    Unstated,
+    Unspecified,
 }
 
 /// The words of a start line, by their position.
@@ -126,7 +126,7 @@
     /// search; it starts at 0 for each head.
     ///
     /// # Errors
-    /// [`HttpError::BadStart`], [`HttpError::BadField`] or [`HttpError::HeadTooLong`].
+    /// [`HttpError::BadStartLine`], [`HttpError::BadHeaderField`] or [`HttpError::HeadTooLong`].
     pub fn parse(bytes: &[u8], scanned: &mut usize) -> Result<Option<Head>, HttpError> {
         let Some(len) = find_head_end(bytes, *scanned) else {
             *scanned = bytes.len();
@@ -170,23 +170,23 @@
     /// How the body is delimited.
     ///
     /// # Errors
-    /// [`HttpError::BadCoding`] or [`HttpError::BadLength`], also where the framing is stated twice or in both ways.
+    /// [`HttpError::BadTransferCoding`] or [`HttpError::BadContentLength`], also where the framing is stated twice or in both ways.
     pub fn framing(&self, bytes: &[u8]) -> Result<Framing, HttpError> {
         let mut codings = self.field_values(bytes, "transfer-encoding");
         let mut lengths = self.field_values(bytes, "content-length");
         let coding = codings.next();
         let length = lengths.next();
         if codings.next().is_some() {
-            return Err(HttpError::BadCoding);
+            return Err(HttpError::BadTransferCoding);
         }
         if (coding.is_some() && length.is_some()) || lengths.next().is_some() {
-            return Err(HttpError::BadLength);
+            return Err(HttpError::BadContentLength);
         }
         match (coding, length) {
             (Some(coding), _) if coding.eq_ignore_ascii_case(b"chunked") => Ok(Framing::Chunked),
-            (Some(_), _) => Err(HttpError::BadCoding),
+            (Some(_), _) => Err(HttpError::BadTransferCoding),
             (None, Some(length)) => parse_content_length(length).map(Framing::Length),
-            (None, None) => Ok(Framing::Unstated),
+            (None, None) => Ok(Framing::Unspecified),
         }
     }
 }
@@ -208,15 +208,15 @@
 fn parse_start_line(bytes: &[u8], line: Range<usize>) -> Result<[Range<usize>; 3], HttpError> {
     let text = &bytes[line.clone()];
     if text.iter().any(|byte| byte.is_ascii_control() || !byte.is_ascii()) {
-        return Err(HttpError::BadStart);
+        return Err(HttpError::BadStartLine);
     }
     let mut spaces = (0..text.len()).filter(|place| text[*place] == b' ').map(|place| line.start + place);
-    let first_space = spaces.next().ok_or(HttpError::BadStart)?;
+    let first_space = spaces.next().ok_or(HttpError::BadStartLine)?;
     let second_space = spaces.next().unwrap_or(line.end);
     let third_start = (second_space + 1).min(line.end);
     let words = [line.start..first_space, first_space + 1..second_space, third_start..line.end];
     if words[0].is_empty() || words[1].is_empty() {
-        return Err(HttpError::BadStart);
+        return Err(HttpError::BadStartLine);
     }
     Ok(words)
 }
@@ -224,11 +224,11 @@
 /// Parses a field line. Line folding and white space before the colon are errors (RFC 9112 sections 5.1 and 5.2).
 fn parse_field_line(bytes: &[u8], line: Range<usize>) -> Result<Field, HttpError> {
     let text = &bytes[line.clone()];
-    let colon = text.iter().position(|byte| *byte == b':').ok_or(HttpError::BadField)?;
+    let colon = text.iter().position(|byte| *byte == b':').ok_or(HttpError::BadHeaderField)?;
     let name = &text[..colon];
     let is_control = |byte: &u8| byte.is_ascii_control() && *byte != b'\t';
     if name.is_empty() || !name.iter().copied().all(is_token_byte) || text[colon..].iter().any(is_control) {
-        return Err(HttpError::BadField);
+        return Err(HttpError::BadHeaderField);
     }
     let colon = line.start + colon;
     Ok(Field { name: line.start..colon, value: trim_blanks(bytes, colon + 1..line.end) })
@@ -237,9 +237,9 @@
 /// Parses a `Content-Length`: digits only. A number that does not fit is a body that is too long for any limit.
 fn parse_content_length(value: &[u8]) -> Result<usize, HttpError> {
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
-        return Err(HttpError::BadLength);
+        return Err(HttpError::BadContentLength);
     }
-    let text = std::str::from_utf8(value).map_err(|_| HttpError::BadLength)?;
+    let text = std::str::from_utf8(value).map_err(|_| HttpError::BadContentLength)?;
     Ok(text.parse().unwrap_or(usize::MAX))
 }
 
--- a/crates/protocol/src/objects.rs
+++ b/crates/protocol/src/json_stream.rs
@@ -2,13 +2,13 @@
 
 /// Largest JSON object of a watch in bytes, white space and line breaks included: 3,200 index servers with 1,300
 /// bytes each.
-pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_ENDPOINT_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// A unit of the stream.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum StreamItem {
     /// An empty line.
-    Blank,
+    BlankLine,
     /// The bytes of one JSON object, or a line that is not one.
     Text(Vec<u8>),
 }
@@ -16,12 +16,12 @@
 /// A piece is longer than the limit that the caller gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("object or line exceeds the length limit")]
-pub struct PieceTooLong;
+pub struct StreamItemTooLong;
 
-/// Incremental splitter; bytes go in with [`feed`](ObjectSplitter::feed), pieces come out of
-/// [`next_piece`](ObjectSplitter::next_piece).
+/// Incremental splitter; bytes go in with [`feed`](JsonStreamSplitter::feed), pieces come out of
+/// [`next_item`](JsonStreamSplitter::next_item).
 #[derive(Debug, Default)]
-pub struct ObjectSplitter {
+pub struct JsonStreamSplitter {
     /// Bytes not yet returned in a piece; new ones are appended.
     pub(crate) buffer: Vec<u8>,
     /// Bytes at the front of the buffer that were examined already.
@@ -38,7 +38,7 @@
     object_ended_on_line: bool,
 }
 
-impl ObjectSplitter {
+impl JsonStreamSplitter {
     /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -47,12 +47,12 @@
     /// Returns the next piece, or `None` until it is complete.
     ///
     /// # Errors
-    /// [`PieceTooLong`] if the piece has more than `max_bytes` bytes.
-    pub fn next_piece(&mut self, max_bytes: usize) -> Result<Option<Piece>, PieceTooLong> {
+    /// [`StreamItemTooLong`] if the piece has more than `max_bytes` bytes.
+    pub fn next_item(&mut self, max_bytes: usize) -> Result<Option<StreamItem>, StreamItemTooLong> {
         while let Some(byte) = self.buffer.get(self.scanned).copied() {
             self.scanned += 1;
             if self.scanned > max_bytes {
-                return Err(PieceTooLong);
+                return Err(StreamItemTooLong);
             }
             let piece = if self.depth > 0 { self.scan_object(byte) } else { self.scan_line(byte) };
             if piece.is_some() {
@@ -63,7 +63,7 @@
     }
 
     /// Examines a byte inside an object; returns the object with its last brace.
-    fn scan_object(&mut self, byte: u8) -> Option<Piece> {
+    fn scan_object(&mut self, byte: u8) -> Option<StreamItem> {
         match (self.in_string, byte) {
             (true, _) if self.escaped => self.escaped = false,
             (true, b'\\') => self.escaped = true,
@@ -76,11 +76,11 @@
             return None;
         }
         self.object_ended_on_line = true;
-        Some(Piece::Text(self.take_scanned()))
+        Some(StreamItem::Text(self.take_scanned()))
     }
 
     /// Examines a byte outside of objects; returns a blank line or a line that is not an object with its line feed.
-    fn scan_line(&mut self, byte: u8) -> Option<Piece> {
+    fn scan_line(&mut self, byte: u8) -> Option<StreamItem> {
         match byte {
             b'\n' => return self.finish_line(),
             b'{' if !self.line_is_not_object => self.depth = 1,
@@ -91,14 +91,14 @@
     }
 
     /// Takes the line that ended and resets what is known of it.
-    fn finish_line(&mut self) -> Option<Piece> {
+    fn finish_line(&mut self) -> Option<StreamItem> {
         let line = self.take_scanned();
         let is_not_object = std::mem::take(&mut self.line_is_not_object);
         let object_ended = std::mem::take(&mut self.object_ended_on_line);
         if is_not_object {
-            return Some(Piece::Text(line));
+            return Some(StreamItem::Text(line));
         }
-        (!object_ended).then_some(Piece::Blank)
+        (!object_ended).then_some(StreamItem::BlankLine)
     }
 
     /// Removes the examined bytes from the buffer.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -7,7 +7,7 @@
 //! * [`head`], [`requests`]: HTTP/1.1 messages ([RFC 9112](https://www.rfc-editor.org/rfc/rfc9112)).
 //! * [`query`]: bodies of client queries and of their answers.
 //! * [`frames`], [`connection`]: the framed protocol between front nodes and index servers.
-//! * [`endpoint_list`], [`watch`], [`watch_supervisor`], [`objects`]: the endpoint list of discovery, and watches on it.
+//! * [`endpoint_list`], [`watch`], [`watch_supervisor`], [`json_stream`]: the endpoint list of discovery, and watches on it.
 //! * [`names`]: the configurable names on the wire.
 
 #![warn(missing_docs)]
@@ -17,8 +17,8 @@
 pub mod endpoint_list;
 pub mod frames;
 pub mod head;
+pub mod json_stream;
 pub mod names;
-pub mod objects;
 pub mod query;
 pub mod requests;
 pub mod watch;
--- a/crates/protocol/src/names.rs
+++ b/crates/protocol/src/names.rs
@@ -1,14 +1,14 @@
 //! Names and formats on the wire: header fields, paths, JSON keys, and the format of frames.
 //!
 //! The defaults are those of the protocol page. Another operator's deployment may override them with a file of names,
-//! read by [`Names::read`]; what that file does not state keeps its default.
+//! read by [`WireNames::read`]; what that file does not state keeps its default.
 
 use serde_json::{Map, Value};
 
 /// A fault in a file of names.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("name '{key}' {problem}")]
-pub struct NamesError {
+pub struct WireNamesError {
     /// The key at fault, with its group and a dot before it if it is in one.
     pub key: String,
     /// What is wrong with its value.
@@ -35,7 +35,7 @@
         }
 
         impl $group {
-            fn read(file: &Map<String, Value>) -> Result<$group, NamesError> {
+            fn read(file: &Map<String, Value>) -> Result<$group, WireNamesError> {
                 let mut names = $group::default();
                 let Some(group) = read_group(file, $group_key)? else { return Ok(names) };
                 $(if let Some(name) = read_word(group, $group_key, $key)? { names.$field = name; })*
@@ -65,7 +65,7 @@
 
 name_group! {
     /// HTTP paths.
-    Paths at "paths" {
+    HttpPaths at "paths" {
         /// Readiness of the front node.
         ready "ready" "/health/ready",
         /// Liveness of the front node.
@@ -113,7 +113,7 @@
 
 name_group! {
     /// Values of the status of an endpoint.
-    StatusNames at "states" {
+    StatusValues at "states" {
         /// In service.
         up "ready" "up",
         /// Shutting down gracefully.
@@ -178,7 +178,7 @@
 }
 
 impl FrameFormat {
-    fn read(file: &Map<String, Value>) -> Result<FrameFormat, NamesError> {
+    fn read(file: &Map<String, Value>) -> Result<FrameFormat, WireNamesError> {
         let mut format = FrameFormat::default();
         let Some(group) = read_group(file, "fan")? else { return Ok(format) };
         if let Some(types) = read_word(group, "fan", "frames")? {
@@ -196,7 +196,7 @@
     }
 
     /// Sets the type bytes from a word of six letters; the third and fourth are for frames not used here.
-    fn set_types(&mut self, types: &str) -> Result<(), NamesError> {
+    fn set_types(&mut self, types: &str) -> Result<(), WireNamesError> {
         let &[call, cancel, _, _, answer, rejected] = types.as_bytes() else {
             return Err(fault("fan", "frames", "is not six letters"));
         };
@@ -215,17 +215,17 @@
 
 /// All names of a deployment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Names {
+pub struct WireNames {
     /// Header fields of a query.
     pub header_names: HeaderNames,
     /// HTTP paths.
-    pub paths: Paths,
+    pub paths: HttpPaths,
     /// Query parameters of a request for the endpoint list.
     pub watch_parameters: WatchParameters,
     /// Keys of the endpoint list.
     pub endpoint_list_keys: EndpointListKeys,
     /// Values of the status of an endpoint.
-    pub status_names: StatusNames,
+    pub status_values: StatusValues,
     /// Keys of bodies.
     pub body_keys: BodyKeys,
     /// Format of frames.
@@ -242,39 +242,39 @@
     ("discovery", "stream"),
 ];
 
-impl Names {
+impl WireNames {
     /// Reads a file of names in the operators' form.
     ///
     /// # Errors
-    /// [`NamesError`], the first fault found.
-    pub fn read(file: &Value) -> Result<Names, NamesError> {
+    /// [`WireNamesError`], the first fault found.
+    pub fn read(file: &Value) -> Result<WireNames, WireNamesError> {
         let file = file.as_object().ok_or_else(|| fault("", "", "is not an object"))?;
         for (key, supported) in SUPPORTED_VARIANTS {
             if read_word(file, "", key)?.is_some_and(|variant| variant != supported) {
                 return Err(fault("", key, "states a form that is not supported"));
             }
         }
-        Ok(Names {
+        Ok(WireNames {
             header_names: HeaderNames::read(file)?,
-            paths: Paths::read(file)?,
+            paths: HttpPaths::read(file)?,
             watch_parameters: WatchParameters::read(file)?,
             endpoint_list_keys: EndpointListKeys::read(file)?,
-            status_names: StatusNames::read(file)?,
+            status_values: StatusValues::read(file)?,
             body_keys: BodyKeys::read(file)?,
             frame_format: FrameFormat::read(file)?,
         })
     }
 }
 
-fn fault(group: &str, key: &str, problem: &'static str) -> NamesError {
+fn fault(group: &str, key: &str, problem: &'static str) -> WireNamesError {
     let key = if group.is_empty() { key.to_owned() } else { format!("{group}.{key}") };
-    NamesError { key, problem }
+    WireNamesError { key, problem }
 }
 
 fn read_group<'a>(
     file: &'a Map<String, Value>,
     key: &str,
-) -> Result<Option<&'a Map<String, Value>>, NamesError> {
+) -> Result<Option<&'a Map<String, Value>>, WireNamesError> {
     match file.get(key) {
         None | Some(Value::Null) => Ok(None),
         Some(group) => group.as_object().map(Some).ok_or_else(|| fault("", key, "is not an object")),
@@ -282,7 +282,11 @@
 }
 
 /// Reads a value of visible ASCII characters; `None` if it is absent or null.
-fn read_word(group: &Map<String, Value>, group_key: &str, key: &str) -> Result<Option<String>, NamesError> {
+fn read_word(
+    group: &Map<String, Value>,
+    group_key: &str,
+    key: &str,
+) -> Result<Option<String>, WireNamesError> {
     let is_word = |word: &&str| !word.is_empty() && word.bytes().all(|byte| byte.is_ascii_graphic());
     match group.get(key) {
         None | Some(Value::Null) => Ok(None),
--- a/crates/protocol/src/query.rs
+++ b/crates/protocol/src/query.rs
@@ -23,7 +23,7 @@
     Id,
     /// The idempotency key is required and missing, or can't be an attribute of a frame.
     #[error("idempotency key is missing or not a word of at most {MAX_KEY_BYTES} bytes without a comma")]
-    Key,
+    IdempotencyKey,
     /// The time the client waits is missing or out of range.
     #[error("expiry is missing or not a number of milliseconds up to {MAX_EXPIRY_MS}")]
     Expiry,
@@ -55,7 +55,7 @@
     pub fn code(self) -> &'static str {
         match self {
             QueryError::Id => "bad_id",
-            QueryError::Key => "bad_key",
+            QueryError::IdempotencyKey => "bad_key",
             QueryError::Expiry => "bad_expiry",
             QueryError::Json => "bad_json",
             QueryError::Parts => "bad_parts",
@@ -76,7 +76,7 @@
     /// Fraction of the complete answer that this part makes up, in `0.0..=1.0` without 0.
     pub weight: f64,
     /// Hint of the work in microseconds, if the client gave one.
-    pub work_us: Option<i64>,
+    pub work_hint_us: Option<i64>,
 }
 
 /// The body of a query.
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 /// [`QueryError::Id`].
-pub fn query_id(value: Option<&str>) -> Result<&str, QueryError> {
+pub fn parse_query_id(value: Option<&str>) -> Result<&str, QueryError> {
     let is_word = |id: &str| id.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'.');
     let is_valid = |id: &&str| !id.is_empty() && id.len() <= MAX_ID_BYTES && is_word(id);
     value.filter(is_valid).ok_or(QueryError::Id)
@@ -102,14 +102,14 @@
 /// Checks an idempotency key. It becomes an attribute of frames, so it has neither white space nor a comma.
 ///
 /// # Errors
-/// [`QueryError::Key`], also if the class of the query requires a key and there is none.
-pub fn idempotency_key(value: Option<&str>, is_required: bool) -> Result<Option<&str>, QueryError> {
+/// [`QueryError::IdempotencyKey`], also if the class of the query requires a key and there is none.
+pub fn parse_idempotency_key(value: Option<&str>, is_required: bool) -> Result<Option<&str>, QueryError> {
     let Some(key) = value else {
-        return if is_required { Err(QueryError::Key) } else { Ok(None) };
+        return if is_required { Err(QueryError::IdempotencyKey) } else { Ok(None) };
     };
     let is_word = key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',');
     if key.is_empty() || key.len() > MAX_KEY_BYTES || !is_word {
-        return Err(QueryError::Key);
+        return Err(QueryError::IdempotencyKey);
     }
     Ok(Some(key))
 }
@@ -118,7 +118,7 @@
 ///
 /// # Errors
 /// [`QueryError::Expiry`].
-pub fn expiry(value: Option<&str>) -> Result<i64, QueryError> {
+pub fn parse_expiry(value: Option<&str>) -> Result<i64, QueryError> {
     let is_digits = |text: &&str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     let digits = value.filter(is_digits).ok_or(QueryError::Expiry)?;
     let milliseconds: u64 = digits.parse().map_err(|_| QueryError::Expiry)?;
@@ -132,7 +132,7 @@
 ///
 /// # Errors
 /// [`QueryError`], the first fault found.
-pub fn parse(body: &[u8], names: &BodyKeys, shards: u32) -> Result<QueryBody, QueryError> {
+pub fn parse_query_body(body: &[u8], names: &BodyKeys, shards: u32) -> Result<QueryBody, QueryError> {
     let body: Value = serde_json::from_slice(body).map_err(|_| QueryError::Json)?;
     let listed = body.get(&names.parts).and_then(Value::as_array).ok_or(QueryError::Parts)?;
     if listed.is_empty() {
@@ -155,7 +155,7 @@
 fn parse_part(value: &Value, names: &BodyKeys, shards: u32) -> Result<RequestedPart, QueryError> {
     let shard = value.get(&names.shard).and_then(Value::as_u64).ok_or(QueryError::Part)?;
     let shard = u32::try_from(shard).ok().filter(|shard| *shard < shards).ok_or(QueryError::Shard)?;
-    let work_us = match value.get(&names.work) {
+    let work_hint_us = match value.get(&names.work) {
         None | Some(Value::Null) => None,
         Some(work) => Some(parse_work_hint(work)?),
     };
@@ -163,7 +163,7 @@
     if !(weight > 0.0 && weight <= 1.0) {
         return Err(QueryError::Part);
     }
-    Ok(RequestedPart { shard, weight, work_us })
+    Ok(RequestedPart { shard, weight, work_hint_us })
 }
 
 fn parse_work_hint(value: &Value) -> Result<i64, QueryError> {
@@ -182,7 +182,7 @@
 }
 
 /// Encodes the body of an answer: whether it is complete, and the shard and the value of each part that was served.
-pub fn answer_body<'a>(
+pub fn encode_answer_body<'a>(
     names: &BodyKeys,
     is_complete: bool,
     values: impl Iterator<Item = (u32, &'a str)>,
@@ -207,7 +207,7 @@
 }
 
 /// Encodes the body of a response without an answer: the code of the reason.
-pub fn reason_body(code: &str) -> Vec<u8> {
+pub fn encode_reason_body(code: &str) -> Vec<u8> {
     let mut body = String::from("{\"reason\":");
     push_quoted(code, &mut body);
     body.push('}');
--- a/crates/protocol/src/requests.rs
+++ b/crates/protocol/src/requests.rs
@@ -11,12 +11,12 @@
 
 /// How much of the next request has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
+pub enum RequestProgress {
     /// Nothing.
     Idle,
     /// A part of it.
     Partial,
-    /// All of it: [`Requests::request`] returns it.
+    /// All of it: [`RequestParser::request`] returns it.
     Complete,
 }
 
@@ -72,7 +72,7 @@
 
 /// The requests of one connection, in order.
 #[derive(Debug, Default)]
-pub struct Requests {
+pub struct RequestParser {
     /// Received bytes from the start of the current request on. Of a chunked body no bytes stay here.
     buffer: Vec<u8>,
     /// Bytes of the buffer that were searched for the end of the head.
@@ -89,14 +89,14 @@
     complete_len: Option<usize>,
 }
 
-impl Requests {
+impl RequestParser {
     /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// Whether more bytes should be read now: the backpressure on a client that pipelines requests.
-    pub fn wants_bytes(&self) -> bool {
+    pub fn wants_read(&self) -> bool {
         self.buffer.len() <= MAX_HEAD_BYTES + MAX_BODY_BYTES
     }
 
@@ -109,27 +109,27 @@
     ///
     /// # Errors
     /// [`HttpError`]; the connection can't be used any further.
-    pub fn progress(&mut self) -> Result<Progress, HttpError> {
+    pub fn parse(&mut self) -> Result<RequestProgress, HttpError> {
         if self.complete_len.is_some() {
-            return Ok(Progress::Complete);
+            return Ok(RequestProgress::Complete);
         }
         if self.head.is_none() {
             self.skip_empty_lines();
             if self.buffer.is_empty() {
-                return Ok(Progress::Idle);
+                return Ok(RequestProgress::Idle);
             }
             let Some(head) = Head::parse(&self.buffer, &mut self.scanned)? else {
-                return Ok(Progress::Partial);
+                return Ok(RequestProgress::Partial);
             };
             check_request_line(&head, &self.buffer)?;
             self.begin_body(&head)?;
             self.head = Some(head);
         }
         if !self.read_body()? {
-            return Ok(Progress::Partial);
+            return Ok(RequestProgress::Partial);
         }
         self.complete_len = Some(self.body.end);
-        Ok(Progress::Complete)
+        Ok(RequestProgress::Complete)
     }
 
     /// Drops empty lines before a request line (RFC 9112 section 2.2).
@@ -144,7 +144,7 @@
     fn begin_body(&mut self, head: &Head) -> Result<(), HttpError> {
         self.body = head.len..head.len;
         match head.framing(&self.buffer)? {
-            Framing::Unstated => {}
+            Framing::Unspecified => {}
             Framing::Length(length) if length > MAX_BODY_BYTES => return Err(HttpError::BodyTooLong),
             Framing::Length(length) => {
                 self.body.end += length;
@@ -155,7 +155,7 @@
                 let version = head.start_line_word(&self.buffer, StartLineWord::Third);
                 if version != "HTTP/1.1" {
                     // RFC 9112 section 6.1: a transfer coding in an HTTP/1.0 message makes its framing faulty.
-                    return Err(HttpError::BadCoding);
+                    return Err(HttpError::BadTransferCoding);
                 }
                 self.chunked = Some(ChunkedDecoder::default());
             }
@@ -190,7 +190,7 @@
     }
 
     /// Removes the current request, if it is complete; the next one begins after it.
-    pub fn finish(&mut self) {
+    pub fn finish_request(&mut self) {
         if let Some(len) = self.complete_len.take() {
             self.buffer.drain(..len);
             self.head = None;
@@ -207,11 +207,11 @@
     match head.start_line_word(bytes, StartLineWord::Third) {
         "HTTP/1.1" | "HTTP/1.0" => {}
         other if other.starts_with("HTTP/") => return Err(HttpError::BadVersion),
-        _ => return Err(HttpError::BadStart),
+        _ => return Err(HttpError::BadStartLine),
     }
     let method = head.start_line_word(bytes, StartLineWord::First);
     if !method.bytes().all(|byte| byte.is_ascii_uppercase()) {
-        return Err(HttpError::BadStart);
+        return Err(HttpError::BadStartLine);
     }
     Ok(())
 }
--- a/crates/protocol/src/watch.rs
+++ b/crates/protocol/src/watch.rs
@@ -1,10 +1,10 @@
 //! The client's side of a watch on discovery: an HTTP response that stays open and carries JSON lists and blank lines.
 
 use crate::chunks::ChunkedDecoder;
-use crate::endpoint_list::{parse, EndpointListError, ListUpdate};
+use crate::endpoint_list::{parse_list_update, EndpointListError, ListUpdate};
 use crate::head::{Framing, Head, HttpError, StartLineWord};
-use crate::names::Names;
-use crate::objects::{ObjectSplitter, Piece, PieceTooLong, MAX_LIST_BYTES};
+use crate::json_stream::{JsonStreamSplitter, StreamItem, StreamItemTooLong, MAX_ENDPOINT_LIST_BYTES};
+use crate::names::WireNames;
 use std::rc::Rc;
 
 /// An event of a watch.
@@ -27,7 +27,7 @@
     Status(u16),
     /// A line of the body is not an endpoint list.
     #[error(transparent)]
-    List(#[from] EndpointListError),
+    EndpointList(#[from] EndpointListError),
 }
 
 /// How the body of the response is delimited.
@@ -42,23 +42,23 @@
 
 /// State of one watch.
 #[derive(Debug, Default)]
-pub struct Watch {
-    names: Rc<Names>,
+pub struct WatchDecoder {
+    names: Rc<WireNames>,
     /// Received bytes of the head, until it is complete.
     head: Vec<u8>,
     /// Bytes of the head that were searched for its end.
     scanned: usize,
     /// The body, once the head is complete.
     body: Option<Body>,
-    lists: ObjectSplitter,
+    lists: JsonStreamSplitter,
     /// A fault in the received bytes. Events that were complete before it are still returned.
     failed: Option<WatchError>,
 }
 
-impl Watch {
+impl WatchDecoder {
     /// A watch on lists with these names.
-    pub fn new(names: Rc<Names>) -> Watch {
-        Watch { names, ..Watch::default() }
+    pub fn new(names: Rc<WireNames>) -> WatchDecoder {
+        WatchDecoder { names, ..WatchDecoder::default() }
     }
 
     /// Processes received bytes.
@@ -86,14 +86,14 @@
             return Err(HttpError::BadVersion.into());
         }
         let status = head.start_line_word(&self.head, StartLineWord::Second);
-        let status: u16 = status.parse().map_err(|_| HttpError::BadStart)?;
+        let status: u16 = status.parse().map_err(|_| HttpError::BadStartLine)?;
         if status != 200 {
             return Err(WatchError::Status(status));
         }
         Ok(match head.framing(&self.head)? {
             Framing::Chunked => Body::Chunked(ChunkedDecoder::default()),
             Framing::Length(length) => Body::Length(length),
-            Framing::Unstated => Body::UntilClose,
+            Framing::Unspecified => Body::UntilClose,
         })
     }
 
@@ -122,10 +122,12 @@
     /// # Errors
     /// [`WatchError`]; the connection can't be used any further.
     pub fn next_event(&mut self) -> Result<Option<WatchEvent>, WatchError> {
-        match self.lists.next_piece(MAX_LIST_BYTES) {
-            Err(PieceTooLong) => Err(HttpError::BodyTooLong.into()),
-            Ok(Some(Piece::Blank)) => Ok(Some(WatchEvent::KeepAlive)),
-            Ok(Some(Piece::Text(text))) => Ok(Some(WatchEvent::Update(parse(&text, &self.names)?))),
+        match self.lists.next_item(MAX_ENDPOINT_LIST_BYTES) {
+            Err(StreamItemTooLong) => Err(HttpError::BodyTooLong.into()),
+            Ok(Some(StreamItem::BlankLine)) => Ok(Some(WatchEvent::KeepAlive)),
+            Ok(Some(StreamItem::Text(text))) => {
+                Ok(Some(WatchEvent::Update(parse_list_update(&text, &self.names)?)))
+            }
             Ok(None) => match &self.failed {
                 Some(error) => Err(error.clone()),
                 None => Ok(None),
--- a/crates/protocol/src/watch_supervisor.rs
+++ b/crates/protocol/src/watch_supervisor.rs
@@ -34,7 +34,7 @@
     /// Begin a watch.
     Open {
         /// The number by which its events are reported back.
-        number: u64,
+        watch_id: u64,
         /// The address of discovery.
         address: A,
         /// Request the changes after this version; 0 for the complete list.
@@ -50,7 +50,7 @@
 
 /// A watch that was begun.
 struct WatchCall<A> {
-    number: u64,
+    watch_id: u64,
     address: A,
 }
 
@@ -71,7 +71,7 @@
     /// The active watch has delivered its first event.
     active_has_delivered: bool,
     /// The number of the latest call.
-    last_number: u64,
+    last_watch_id: u64,
     /// When the next call is due.
     next_call_at: Option<Duration>,
     /// Calls to a new address that failed in a row, up to the limit of the backoff.
@@ -90,7 +90,7 @@
             active: None,
             pending: Vec::new(),
             active_has_delivered: false,
-            last_number: 0,
+            last_watch_id: 0,
             next_call_at: pushed.then_some(Duration::ZERO),
             failed_calls: 0,
         }
@@ -101,14 +101,14 @@
         if self.pending.len() >= MAX_PENDING {
             return Vec::new();
         }
-        self.last_number += 1;
-        let number = self.last_number;
+        self.last_watch_id += 1;
+        let watch_id = self.last_watch_id;
         let address = self.configured_address;
-        self.pending.push(WatchCall { number, address });
+        self.pending.push(WatchCall { watch_id, address });
         let may_hedge = self.pending.len() < MAX_PENDING;
         self.next_call_at = may_hedge.then(|| now + timeouts.answer_timeout * 3 / 4);
         let after = if address == self.source_address { self.version } else { 0 };
-        vec![WatchAction::Open { number, address, after }]
+        vec![WatchAction::Open { watch_id, address, after }]
     }
 
     /// The configuration has a new address: pending calls are closed and a watch on the new address is begun.
@@ -121,7 +121,7 @@
         self.configured_address = address;
         self.failed_calls = 0;
         let mut actions: Vec<WatchAction<A>> =
-            self.pending.drain(..).map(|call| WatchAction::Close(call.number)).collect();
+            self.pending.drain(..).map(|call| WatchAction::Close(call.watch_id)).collect();
         actions.extend(self.request_watch(now, timeouts));
         actions
     }
@@ -141,9 +141,11 @@
     }
 
     /// Handles an event of a watch.
-    pub fn on_event(&mut self, number: u64, event: WatchEvent) -> Vec<WatchAction<A>> {
-        let mut actions = self.activate(number, &event);
-        let Some(active) = self.active.as_ref().filter(|call| call.number == number) else { return actions };
+    pub fn on_event(&mut self, watch_id: u64, event: WatchEvent) -> Vec<WatchAction<A>> {
+        let mut actions = self.activate(watch_id, &event);
+        let Some(active) = self.active.as_ref().filter(|call| call.watch_id == watch_id) else {
+            return actions;
+        };
         let is_first_event = !std::mem::replace(&mut self.active_has_delivered, true);
         match event {
             WatchEvent::Update(update) => {
@@ -163,15 +165,16 @@
 
     /// Makes a pending call the active watch and closes all others, if this event lets it. At another address than
     /// that of the known list only an update does: a keep-alive there says nothing about that list.
-    fn activate(&mut self, number: u64, event: &WatchEvent) -> Vec<WatchAction<A>> {
+    fn activate(&mut self, watch_id: u64, event: &WatchEvent) -> Vec<WatchAction<A>> {
         let can_activate = |call: &WatchCall<A>| {
-            call.number == number && (call.address == self.source_address || *event != WatchEvent::KeepAlive)
+            call.watch_id == watch_id
+                && (call.address == self.source_address || *event != WatchEvent::KeepAlive)
         };
         let Some(position) = self.pending.iter().position(can_activate) else { return Vec::new() };
         let activated = self.pending.remove(position);
         let replaced = self.active.replace(activated);
         let closed = self.pending.drain(..).chain(replaced);
-        let actions = closed.map(|call| WatchAction::Close(call.number)).collect();
+        let actions = closed.map(|call| WatchAction::Close(call.watch_id)).collect();
         self.active_has_delivered = false;
         self.next_call_at = None;
         self.failed_calls = 0;
@@ -182,12 +185,12 @@
     pub fn on_watch_ended(
         &mut self,
         now: Duration,
-        number: u64,
+        watch_id: u64,
         timeouts: WatchTimeouts,
     ) -> Vec<WatchAction<A>> {
         let had_pending = !self.pending.is_empty();
-        self.pending.retain(|call| call.number != number);
-        let was_active = self.active.take_if(|call| call.number == number).is_some();
+        self.pending.retain(|call| call.watch_id != watch_id);
+        let was_active = self.active.take_if(|call| call.watch_id == watch_id).is_some();
         if !self.pending.is_empty() {
             // The end of the other pending call will be handled in its turn.
             return Vec::new();
--- a/crates/protocol/tests/connection.rs
+++ b/crates/protocol/tests/connection.rs
@@ -13,7 +13,7 @@
 fn outgoing_part(attempt_id: u64, id: &str) -> OutgoingPart {
     OutgoingPart {
         attempt_id,
-        query: 1,
+        query_key: 1,
         id: id.into(),
         shard: 3,
         attributes: String::new(),
@@ -131,27 +131,31 @@
 fn malformed_frames_give_typed_errors() {
     let long = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
     let cases: [(Vec<u8>, FrameError); 9] = [
-        (vec![0, 0, 0, 0], FrameError::Length),
-        (long.to_vec(), FrameError::Length),
+        (vec![0, 0, 0, 0], FrameError::InvalidLength),
+        (long.to_vec(), FrameError::InvalidLength),
         (frame(b'9', "x"), FrameError::UnknownType),
-        (frame(b'5', "no end of line"), FrameError::Line),
-        (frame(b'5', "q.3 S 1\nvalue"), FrameError::Line),
-        (frame(b'5', "q.3 Q 1 -\nvalue"), FrameError::Line),
-        (frame(b'5', "q.3 S high -\nvalue"), FrameError::Line),
+        (frame(b'5', "no end of line"), FrameError::MalformedAnswerLine),
+        (frame(b'5', "q.3 S 1\nvalue"), FrameError::MalformedAnswerLine),
+        (frame(b'5', "q.3 Q 1 -\nvalue"), FrameError::MalformedAnswerLine),
+        (frame(b'5', "q.3 S high -\nvalue"), FrameError::MalformedAnswerLine),
         (frame(b'5', "other S 1 -\nvalue"), FrameError::UnknownPart),
-        (frame(b'X', "what was that"), FrameError::Rejected),
+        (frame(b'X', "what was that"), FrameError::FrameRejected),
     ];
     for (bytes, expected) in cases {
         let mut connection = open_connection(&["q.3"]);
         connection.feed(&bytes);
         assert_eq!(connection.next_answer(|_| {}), Err(expected), "for {bytes:?}");
-        assert_eq!(connection.close().in_flight, in_flight(&[(1, true)]), "the attempt is still in flight");
+        assert_eq!(
+            connection.close().lost_attempts,
+            in_flight(&[(1, true)]),
+            "the attempt is still in flight"
+        );
     }
     let mut connection = open_connection(&["q.3"]);
     let mut bytes = frame(b'5', "q.3 S 1 -\nv?");
     *bytes.last_mut().expect("a byte") = 0xff;
     connection.feed(&bytes);
-    assert_eq!(connection.next_answer(|_| {}), Err(FrameError::Value));
+    assert_eq!(connection.next_answer(|_| {}), Err(FrameError::InvalidAnswerValue));
 }
 
 #[test]
@@ -161,7 +165,7 @@
         let mut connection = ConnectionState::default();
         connection.queue_call(0, vec![outgoing_part(1, "q.3")]);
         write(&mut connection, max_bytes);
-        assert_eq!(connection.close().in_flight, in_flight(&[(1, written)]), "after {max_bytes} bytes");
+        assert_eq!(connection.close().lost_attempts, in_flight(&[(1, written)]), "after {max_bytes} bytes");
     }
 }
 
@@ -178,7 +182,7 @@
     connection.cancel(3, true);
     let rest = write(&mut connection, usize::MAX);
     assert!(rest.ends_with(&frame(b'2', "q.5")));
-    assert_eq!(connection.close().in_flight, in_flight(&[(1, true)]));
+    assert_eq!(connection.close().lost_attempts, in_flight(&[(1, true)]));
 }
 
 #[test]
@@ -268,18 +272,21 @@
     let swallowing =
         frame_with_length(valid.len() as u32 - 4 + next.len() as u32, &[&valid[4..], &next].concat());
     let cases = [
-        (swallowing, FrameError::Value),
-        (frame_with_length(3_000_000_000, b"5q.3 S 1 -\nvalue"), FrameError::Length),
-        (frame_with_length(0, b""), FrameError::Length),
-        (frame_with_length(200_000, &[&b"5q.3 S 1 "[..], &[b'r'; 5000]].concat()), FrameError::Line),
+        (swallowing, FrameError::InvalidAnswerValue),
+        (frame_with_length(3_000_000_000, b"5q.3 S 1 -\nvalue"), FrameError::InvalidLength),
+        (frame_with_length(0, b""), FrameError::InvalidLength),
+        (
+            frame_with_length(200_000, &[&b"5q.3 S 1 "[..], &[b'r'; 5000]].concat()),
+            FrameError::MalformedAnswerLine,
+        ),
         (frame_with_length(200_000, b"!noise"), FrameError::UnknownType),
-        (frame(b'5', "q.3 S 1\nvalue"), FrameError::Line),
-        (frame(b'5', "q.3 S 1 - value"), FrameError::Line),
-        (frame(b'5', "q.3 Q 1 -\nvalue"), FrameError::Line),
-        (frame(b'5', "q.3 S one -\nvalue"), FrameError::Line),
+        (frame(b'5', "q.3 S 1\nvalue"), FrameError::MalformedAnswerLine),
+        (frame(b'5', "q.3 S 1 - value"), FrameError::MalformedAnswerLine),
+        (frame(b'5', "q.3 Q 1 -\nvalue"), FrameError::MalformedAnswerLine),
+        (frame(b'5', "q.3 S one -\nvalue"), FrameError::MalformedAnswerLine),
         (frame(b'5', "q.9 S 1 -\nvalue"), FrameError::UnknownPart),
         (frame(b'5', "q.3.phase2 S 1 -\nvalue"), FrameError::UnknownPart),
-        (frame(b'5', "q.3 S 1 -\nval\0ue"), FrameError::Value),
+        (frame(b'5', "q.3 S 1 -\nval\0ue"), FrameError::InvalidAnswerValue),
     ];
     for (bytes, expected) in cases {
         assert_eq!(
@@ -301,7 +308,7 @@
         "a duplicate answer is ignored"
     );
     let noise = [&valid[..], b"\xff\xfe\xfd\xfc noise"].concat();
-    assert_eq!(read_in_every_split(&noise), (vec!["value".into()], Err(FrameError::Length)));
+    assert_eq!(read_in_every_split(&noise), (vec!["value".into()], Err(FrameError::InvalidLength)));
     let report = [&frame_with_length(20, b"5q.3 S 1 \xff\xfe =,\nvalue")[..]].concat();
     assert_eq!(
         read_in_every_split(&report),
@@ -327,7 +334,7 @@
     connection.feed(&frame(b'5', "q.3 S 1 -\nvalue"));
     assert_eq!(connection.next_answer(|_| {}), Err(FrameError::UnknownPart));
     assert_eq!(
-        connection.close().in_flight,
+        connection.close().lost_attempts,
         in_flight(&[(1, false)]),
         "the attempt is still in flight and was not written"
     );
@@ -363,13 +370,16 @@
         let closed = connection.close();
         let mut expected = vec![(7, false)];
         if served {
-            assert_eq!(closed.unsent, vec![vec![outgoing_part(8, "q.8"), outgoing_part(9, "q.9")]]);
+            assert_eq!(closed.unsent_calls, vec![vec![outgoing_part(8, "q.8"), outgoing_part(9, "q.9")]]);
         } else {
-            assert!(closed.unsent.is_empty(), "a connection that never answered may be to a failed server");
+            assert!(
+                closed.unsent_calls.is_empty(),
+                "a connection that never answered may be to a failed server"
+            );
             expected.extend([(8, false), (9, false)]);
             expected.insert(0, (1, true));
         }
-        assert_eq!(closed.in_flight, in_flight(&expected));
+        assert_eq!(closed.lost_attempts, in_flight(&expected));
     }
 }
 
@@ -384,14 +394,14 @@
     assert!(connection.queue_call(0, all(&[(4, "d.1"), (5, "e.1")])).is_empty());
     // One byte of the first call is written: it is not withdrawn.
     write(&mut connection, 1);
-    assert_eq!(connection.withdraw_unwritten(|part| part.attempt_id != 4), [3, 5]);
+    assert_eq!(connection.withdraw_unstarted(|part| part.attempt_id != 4), [3, 5]);
     assert_eq!(connection.in_flight(), 3);
     let rest = write(&mut connection, usize::MAX);
     let text = String::from_utf8_lossy(&rest);
     assert!(text.contains("a.1") && text.contains("b.1") && text.contains("d.1"), "{text}");
     assert!(!text.contains("c.1") && !text.contains("e.1"), "{text}");
     assert_eq!(
-        (connection.unwritten_bytes(), connection.withdraw_unwritten(|_| true).len()),
+        (connection.unwritten_bytes(), connection.withdraw_unstarted(|_| true).len()),
         (0, 0),
         "written calls stay"
     );
@@ -401,7 +411,7 @@
             && connection.is_id_available("e.1")
             && !connection.is_id_available("a.1")
     );
-    assert_eq!(connection.close().in_flight, in_flight(&[(1, true), (2, true), (4, true)]));
+    assert_eq!(connection.close().lost_attempts, in_flight(&[(1, true), (2, true), (4, true)]));
 }
 
 #[test]
@@ -436,7 +446,7 @@
     );
     connection.queue_call(0, vec![OutgoingPart { attributes: ",k=7".into(), ..outgoing_part(3, "c.1") }]);
     // Queued while the connection is being established.
-    connection.refresh_deadlines(150_000);
+    connection.refresh_times_left(150_000);
     assert_eq!(connection.unwritten_bytes(), pending_bytes(&connection).len());
     let written = write(&mut connection, usize::MAX);
     assert_eq!(stated_times_left(&written), [90, 350, 90]);
@@ -446,7 +456,7 @@
     connection.queue_call(150_000, vec![outgoing_part(4, "d.1")]);
     connection.queue_call(150_000, vec![outgoing_part(5, "e.1")]);
     let mut written = write(&mut connection, 7);
-    connection.refresh_deadlines(200_000);
+    connection.refresh_times_left(200_000);
     written.extend(write(&mut connection, usize::MAX));
     assert_eq!(stated_times_left(&written), [90, 40]);
     // A call that moves to another connection states the time left there.
@@ -454,7 +464,7 @@
     connection.feed(&frame(b'5', "x.1 S 0 -\nv"));
     assert!(connection.next_answer(|_| {}).expect("a valid frame").is_some());
     connection.queue_call(0, vec![outgoing_part(6, "f.1")]);
-    let unsent = connection.close().unsent;
+    let unsent = connection.close().unsent_calls;
     let mut other = open_connection(&[]);
     other.queue_call(230_500, unsent.into_iter().flatten().collect());
     assert_eq!(stated_times_left(&write(&mut other, usize::MAX)), [10], "whole milliseconds, rounded up");
--- a/crates/protocol/tests/names.rs
+++ b/crates/protocol/tests/names.rs
@@ -1,11 +1,11 @@
 //! Names of another deployment: read from the operators' form, used in both directions; faults state their key.
 
 use pinetrestle_protocol::connection::{ConnectionState, OutgoingPart};
-use pinetrestle_protocol::endpoint_list::{watch_request, Status};
+use pinetrestle_protocol::endpoint_list::{encode_watch_request, Status};
 use pinetrestle_protocol::frames::{part_id, PartOutcome};
-use pinetrestle_protocol::names::Names;
-use pinetrestle_protocol::query::{answer_body, parse};
-use pinetrestle_protocol::watch::{Watch, WatchEvent};
+use pinetrestle_protocol::names::WireNames;
+use pinetrestle_protocol::query::{encode_answer_body, parse_query_body};
+use pinetrestle_protocol::watch::{WatchDecoder, WatchEvent};
 use serde_json::{json, Value};
 use std::rc::Rc;
 
@@ -26,8 +26,8 @@
 
 #[test]
 fn names_not_stated_keep_their_defaults() {
-    assert_eq!(Names::read(&json!({})), Ok(Names::default()));
-    let names = Names::read(&names_of_another_deployment()).expect("valid names");
+    assert_eq!(WireNames::read(&json!({})), Ok(WireNames::default()));
+    let names = WireNames::read(&names_of_another_deployment()).expect("valid names");
     assert_eq!(
         (names.header_names.id.as_str(), names.header_names.tenant.as_str()),
         ("Trip-Id", "X-Customer")
@@ -47,7 +47,7 @@
     ] {
         let mut file = names_of_another_deployment();
         file[group][key] = value;
-        assert_eq!(Names::read(&file).expect_err("a fault").key, expected_key);
+        assert_eq!(WireNames::read(&file).expect_err("a fault").key, expected_key);
     }
     for (key, value) in [
         ("h", json!(3)),
@@ -58,25 +58,28 @@
     ] {
         let mut file = names_of_another_deployment();
         file[key] = value;
-        assert_eq!(Names::read(&file).expect_err("a fault").key, key);
+        assert_eq!(WireNames::read(&file).expect_err("a fault").key, key);
     }
-    assert!(Names::read(&json!([])).is_err());
+    assert!(WireNames::read(&json!([])).is_err());
 }
 
 #[test]
 fn queries_answers_lists_and_frames_use_the_stated_names() {
-    let names = Rc::new(Names::read(&names_of_another_deployment()).expect("valid names"));
+    let names = Rc::new(WireNames::read(&names_of_another_deployment()).expect("valid names"));
     let body = br#"{"legs":[{"leg":3,"part":0.5,"us":9},{"leg":4,"part":0.5}],"ask":"c4"}"#;
-    let query = parse(body, &names.body_keys, 9).expect("a query");
+    let query = parse_query_body(body, &names.body_keys, 9).expect("a query");
     assert_eq!((query.parts.len(), query.text.as_str()), (2, "c4"));
-    assert!(parse(body, &Names::default().body_keys, 9).is_err(), "the default names are not accepted");
-    let answer = answer_body(&names.body_keys, true, [(3, "v\"")].into_iter());
+    assert!(
+        parse_query_body(body, &WireNames::default().body_keys, 9).is_err(),
+        "the default names are not accepted"
+    );
+    let answer = encode_answer_body(&names.body_keys, true, [(3, "v\"")].into_iter());
     let answer: Value = serde_json::from_slice(&answer).expect("JSON");
     assert_eq!(answer, json!({"complete": true, "found": [{"leg": 3, "answer": "v\""}]}));
 
-    let request = String::from_utf8(watch_request(&names, "d:1", 4)).expect("text");
+    let request = String::from_utf8(encode_watch_request(&names, "d:1", 4)).expect("text");
     assert!(request.starts_with("GET /directory?stream=1&from=4 HTTP/1.1\r\n"), "{request}");
-    let mut watch = Watch::new(names.clone());
+    let mut watch = WatchDecoder::new(names.clone());
     watch.feed(b"HTTP/1.1 200 OK\r\n\r\n");
     watch.feed(br#"{"n":5,"all":false,"machines":[{"machine":"m","socket":"127.0.0.1:1","unit":2,"mode":"closing","power":2,"up_since":7}]}"#);
     let Ok(Some(WatchEvent::Update(update))) = watch.next_event() else { panic!("no update") };
@@ -90,7 +93,7 @@
         0,
         vec![OutgoingPart {
             attempt_id: 1,
-            query: 1,
+            query_key: 1,
             id,
             shard: 3,
             attributes: String::new(),
--- a/crates/protocol/tests/query.rs
+++ b/crates/protocol/tests/query.rs
@@ -2,15 +2,16 @@
 
 use pinetrestle_protocol::names::BodyKeys;
 use pinetrestle_protocol::query::{
-    answer_body, expiry, idempotency_key, parse, query_id, QueryError, RequestedPart,
+    encode_answer_body, parse_expiry, parse_idempotency_key, parse_query_body, parse_query_id, QueryError,
+    RequestedPart,
 };
 
 #[test]
 fn query_body_is_parsed_with_its_optional_fields() {
     let body = br#"{"slices":[{"slice":3,"mass":0.5,"micros":9000,"term":"00ff"},{"slice":9,"mass":0.5}],
         "filter":"c4\u00e9","more":1}"#;
-    let query = parse(body, &BodyKeys::default(), 10).expect("a valid query");
-    let part = |shard, work_us| RequestedPart { shard, weight: 0.5, work_us };
+    let query = parse_query_body(body, &BodyKeys::default(), 10).expect("a valid query");
+    let part = |shard, work_hint_us| RequestedPart { shard, weight: 0.5, work_hint_us };
     assert_eq!(query.parts, vec![part(3, Some(9000)), part(9, None)]);
     assert_eq!(query.text, "c4é");
 }
@@ -37,47 +38,54 @@
         (r#"{"slices":[{"slice":1,"mass":1.0}],"filter":7}"#, QueryError::Text),
     ];
     for (body, expected) in cases {
-        assert_eq!(parse(body.as_bytes(), &BodyKeys::default(), 10), Err(expected), "for {body}");
+        assert_eq!(parse_query_body(body.as_bytes(), &BodyKeys::default(), 10), Err(expected), "for {body}");
     }
-    assert_eq!(parse(&[0xff, 0xfe], &BodyKeys::default(), 10), Err(QueryError::Json));
+    assert_eq!(parse_query_body(&[0xff, 0xfe], &BodyKeys::default(), 10), Err(QueryError::Json));
 }
 
 #[test]
 fn query_id_is_one_word_without_a_dot() {
-    assert_eq!(query_id(Some("9b1f03aa5c7e2d41")), Ok("9b1f03aa5c7e2d41"));
+    assert_eq!(parse_query_id(Some("9b1f03aa5c7e2d41")), Ok("9b1f03aa5c7e2d41"));
     let long = "a".repeat(65);
     for bad in [None, Some(""), Some("a b"), Some("a\nb"), Some("\u{e9}"), Some("q.3"), Some(long.as_str())] {
-        assert_eq!(query_id(bad), Err(QueryError::Id), "for {bad:?}");
+        assert_eq!(parse_query_id(bad), Err(QueryError::Id), "for {bad:?}");
     }
 }
 
 #[test]
 fn idempotency_key_is_one_word_without_a_comma_and_may_be_required() {
-    assert_eq!((idempotency_key(None, false), idempotency_key(None, true)), (Ok(None), Err(QueryError::Key)));
+    assert_eq!(
+        (parse_idempotency_key(None, false), parse_idempotency_key(None, true)),
+        (Ok(None), Err(QueryError::IdempotencyKey))
+    );
     for needed in [true, false] {
-        assert_eq!(idempotency_key(Some("a2b9acad9eb94871=="), needed), Ok(Some("a2b9acad9eb94871==")));
+        assert_eq!(parse_idempotency_key(Some("a2b9acad9eb94871=="), needed), Ok(Some("a2b9acad9eb94871==")));
         let long = "a".repeat(129);
         for bad in ["", "a b", "a,b", "a\nb", "\u{e9}", &long] {
-            assert_eq!(idempotency_key(Some(bad), needed), Err(QueryError::Key), "for {bad:?}");
+            assert_eq!(
+                parse_idempotency_key(Some(bad), needed),
+                Err(QueryError::IdempotencyKey),
+                "for {bad:?}"
+            );
         }
     }
 }
 
 #[test]
 fn expiry_is_a_number_of_milliseconds_up_to_an_hour() {
-    assert_eq!(expiry(Some("480")), Ok(480_000));
-    assert_eq!(expiry(Some("0")), Ok(0));
+    assert_eq!(parse_expiry(Some("480")), Ok(480_000));
+    assert_eq!(parse_expiry(Some("0")), Ok(0));
     for bad in
         [None, Some(""), Some("-1"), Some("1.5"), Some("soon"), Some("3600001"), Some("99999999999999999999")]
     {
-        assert_eq!(expiry(bad), Err(QueryError::Expiry), "for {bad:?}");
+        assert_eq!(parse_expiry(bad), Err(QueryError::Expiry), "for {bad:?}");
     }
 }
 
 #[test]
 fn answer_values_survive_json_encoding() {
     let values = [(3, "5be2a07c19f04d63"), (4, "a\"b\\c\n\t\u{1}é\u{1f600}"), (5, "")];
-    let body = answer_body(&BodyKeys::default(), false, values.into_iter());
+    let body = encode_answer_body(&BodyKeys::default(), false, values.into_iter());
     let read: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
     assert_eq!(read["entire"], false);
     for (place, (shard, value)) in values.into_iter().enumerate() {
@@ -85,6 +93,7 @@
         assert_eq!(read["items"][place]["body"], value);
     }
     let empty: serde_json::Value =
-        serde_json::from_slice(&answer_body(&BodyKeys::default(), true, [].into_iter())).expect("JSON");
+        serde_json::from_slice(&encode_answer_body(&BodyKeys::default(), true, [].into_iter()))
+            .expect("JSON");
     assert_eq!(empty, serde_json::json!({"entire": true, "items": []}));
 }
--- a/crates/protocol/tests/requests.rs
+++ b/crates/protocol/tests/requests.rs
@@ -4,7 +4,7 @@
 
 use common::{byte_splits, RandomNumbers};
 use pinetrestle_protocol::head::HttpError;
-use pinetrestle_protocol::requests::{response_head, AmbiguousField, Progress, Requests};
+use pinetrestle_protocol::requests::{response_head, AmbiguousField, RequestParser, RequestProgress};
 use pinetrestle_protocol::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
 /// The contents of a request, apart from the buffer it borrows.
@@ -17,16 +17,16 @@
     keeps_alive: bool,
 }
 
-fn read(pieces: &[Vec<u8>]) -> (Vec<ParsedRequest>, Result<Progress, HttpError>) {
-    let mut requests = Requests::default();
+fn read(pieces: &[Vec<u8>]) -> (Vec<ParsedRequest>, Result<RequestProgress, HttpError>) {
+    let mut requests = RequestParser::default();
     let mut parsed = Vec::new();
-    let mut last = Ok(Progress::Idle);
+    let mut last = Ok(RequestProgress::Idle);
     for piece in pieces {
         requests.feed(piece);
         loop {
-            last = requests.progress();
+            last = requests.parse();
             match last {
-                Ok(Progress::Complete) => {}
+                Ok(RequestProgress::Complete) => {}
                 Ok(_) => break,
                 Err(_) => return (parsed, last),
             }
@@ -38,14 +38,14 @@
                 body: request.body.to_vec(),
                 keeps_alive: request.keeps_alive(),
             });
-            requests.finish();
+            requests.finish_request();
         }
     }
     (parsed, last)
 }
 
 /// Parses every split of the bytes; asserts that the result does not depend on it.
-fn read_in_every_split(bytes: &[u8]) -> (Vec<ParsedRequest>, Result<Progress, HttpError>) {
+fn read_in_every_split(bytes: &[u8]) -> (Vec<ParsedRequest>, Result<RequestProgress, HttpError>) {
     let mut splits = byte_splits(bytes).into_iter();
     let first = read(&splits.next().expect("the unsplit bytes"));
     for split in splits {
@@ -66,7 +66,7 @@
         {\"a\"}\r\nPOST /b?x=1 HTTP/1.1\r\nTransfer-Encoding: CHUNKED\r\n\r\n3;note=1\r\nabc\r\n0a\r\n0123456789\r\n\
         0\r\nTrailer: yes\r\n\r\nGET /stats HTTP/1.1\r\nConnection: x, Close\r\n\r\nGET / HTTP/1.0\r\n\r\n";
     let (parsed, end) = read_in_every_split(bytes);
-    assert_eq!(end, Ok(Progress::Idle));
+    assert_eq!(end, Ok(RequestProgress::Idle));
     assert_eq!(parsed.len(), 4);
     assert_eq!(parsed[0].method, "POST");
     assert_eq!(parsed[0].path, "/checkout");
@@ -88,38 +88,47 @@
         [&b"POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabc"[..], b"GET / HTTP/1.1\r\nA: b\r\n", b"G"]
     {
         let (parsed, end) = read_in_every_split(bytes);
-        assert_eq!((parsed, end), (Vec::new(), Ok(Progress::Partial)));
+        assert_eq!((parsed, end), (Vec::new(), Ok(RequestProgress::Partial)));
     }
 }
 
 #[test]
 fn malformed_heads_give_typed_errors() {
     let cases: [(&[u8], HttpError); 24] = [
-        (b"\x16\x03\x01\x02\x00\r\n\r\n", HttpError::BadStart),
-        (b"GET\r\n\r\n", HttpError::BadStart),
-        (b"get / HTTP/1.1\r\n\r\n", HttpError::BadStart),
-        (b"GET / SPDY/3\r\n\r\n", HttpError::BadStart),
+        (b"\x16\x03\x01\x02\x00\r\n\r\n", HttpError::BadStartLine),
+        (b"GET\r\n\r\n", HttpError::BadStartLine),
+        (b"get / HTTP/1.1\r\n\r\n", HttpError::BadStartLine),
+        (b"GET / SPDY/3\r\n\r\n", HttpError::BadStartLine),
         (b"GET / HTTP/2.0\r\n\r\n", HttpError::BadVersion),
-        (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", HttpError::BadField),
-        (b"GET / HTTP/1.1\r\nA: b\r\n folded\r\n\r\n", HttpError::BadField),
-        (b"GET / HTTP/1.1\r\nA : b\r\n\r\n", HttpError::BadField),
-        (b"GET / HTTP/1.1\r\nA: b\x00c\r\n\r\n", HttpError::BadField),
-        (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", HttpError::BadLength),
-        (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", HttpError::BadLength),
-        (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", HttpError::BadLength),
-        (b"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", HttpError::BadCoding),
-        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", HttpError::BadChunk),
+        (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", HttpError::BadHeaderField),
+        (b"GET / HTTP/1.1\r\nA: b\r\n folded\r\n\r\n", HttpError::BadHeaderField),
+        (b"GET / HTTP/1.1\r\nA : b\r\n\r\n", HttpError::BadHeaderField),
+        (b"GET / HTTP/1.1\r\nA: b\x00c\r\n\r\n", HttpError::BadHeaderField),
+        (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", HttpError::BadContentLength),
+        (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", HttpError::BadContentLength),
+        (
+            b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+            HttpError::BadContentLength,
+        ),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", HttpError::BadTransferCoding),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", HttpError::BadChunkedCoding),
         // Request smuggling: framing that another recipient may read differently.
-        (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", HttpError::BadLength),
-        (b"POST / HTTP/1.1\r\ntransfer-encoding: Chunked\r\ncontent-length: 0\r\n\r\n", HttpError::BadLength),
-        (b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", HttpError::BadLength),
-        (b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n", HttpError::BadLength),
-        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked, identity\r\n\r\n", HttpError::BadCoding),
-        (b"POST / HTTP/1.1\r\nTransfer-Encoding : chunked\r\n\r\n", HttpError::BadField),
-        (b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", HttpError::BadCoding),
-        (b"POST / HTTP/1.1\r\nA: b\nTransfer-Encoding: chunked\r\n\r\n", HttpError::BadField),
-        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n 3\r\nabc\r\n", HttpError::BadChunk),
-        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;a\rb\r\nabc\r\n", HttpError::BadChunk),
+        (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", HttpError::BadContentLength),
+        (
+            b"POST / HTTP/1.1\r\ntransfer-encoding: Chunked\r\ncontent-length: 0\r\n\r\n",
+            HttpError::BadContentLength,
+        ),
+        (b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", HttpError::BadContentLength),
+        (b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n", HttpError::BadContentLength),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked, identity\r\n\r\n", HttpError::BadTransferCoding),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding : chunked\r\n\r\n", HttpError::BadHeaderField),
+        (b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", HttpError::BadTransferCoding),
+        (b"POST / HTTP/1.1\r\nA: b\nTransfer-Encoding: chunked\r\n\r\n", HttpError::BadHeaderField),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n 3\r\nabc\r\n", HttpError::BadChunkedCoding),
+        (
+            b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;a\rb\r\nabc\r\n",
+            HttpError::BadChunkedCoding,
+        ),
     ];
     for (bytes, expected) in cases {
         assert_eq!(error(bytes), expected, "for {:?}", String::from_utf8_lossy(bytes));
@@ -149,17 +158,17 @@
     let longest =
         format!("POST / HTTP/1.1\r\nContent-Length: {MAX_BODY_BYTES}\r\n\r\n{}", "y".repeat(MAX_BODY_BYTES));
     let (parsed, end) = read(&[longest.into_bytes()]);
-    assert_eq!((parsed[0].body.len(), end), (MAX_BODY_BYTES, Ok(Progress::Idle)));
+    assert_eq!((parsed[0].body.len(), end), (MAX_BODY_BYTES, Ok(RequestProgress::Idle)));
 }
 
 #[test]
 fn pipelining_client_gets_backpressure() {
-    let mut requests = Requests::default();
-    assert!(requests.wants_bytes());
-    while requests.wants_bytes() {
+    let mut requests = RequestParser::default();
+    assert!(requests.wants_read());
+    while requests.wants_read() {
         requests.feed(&[b'a'; 4096]);
     }
-    assert_eq!(requests.progress(), Err(HttpError::HeadTooLong));
+    assert_eq!(requests.parse(), Err(HttpError::HeadTooLong));
 }
 
 #[test]
@@ -197,13 +206,13 @@
 #[test]
 fn repeated_or_non_utf8_field_is_ambiguous() {
     for head in ["X-Expires-In-Ms: 1\r\nx-expires-in-ms: 1", "X-Expires-In-Ms: \u{e9}"] {
-        let mut requests = Requests::default();
+        let mut requests = RequestParser::default();
         let mut bytes = format!("POST /q HTTP/1.1\r\n{head}\r\n\r\n").into_bytes();
         if let Some(at) = bytes.iter().position(|byte| *byte == 0xc3) {
             bytes.remove(at); // half of a UTF-8 sequence
         }
         requests.feed(&bytes);
-        assert_eq!(requests.progress(), Ok(Progress::Complete));
+        assert_eq!(requests.parse(), Ok(RequestProgress::Complete));
         let request = requests.request().expect("it is there");
         assert_eq!(request.field("X-Expires-In-Ms"), Err(AmbiguousField));
         assert_eq!(request.field("X-Other"), Ok(None));
--- a/crates/protocol/tests/watch.rs
+++ b/crates/protocol/tests/watch.rs
@@ -4,11 +4,12 @@
 
 use common::{byte_splits, RandomNumbers};
 use pinetrestle_protocol::endpoint_list::{
-    parse, watch_request, EndpointEntry, EndpointListError, InvalidField, ListUpdate, Status,
+    encode_watch_request, parse_list_update, EndpointEntry, EndpointListError, InvalidField, ListUpdate,
+    Status,
 };
 use pinetrestle_protocol::head::HttpError;
-use pinetrestle_protocol::names::Names;
-use pinetrestle_protocol::watch::{Watch, WatchError, WatchEvent};
+use pinetrestle_protocol::names::WireNames;
+use pinetrestle_protocol::watch::{WatchDecoder, WatchError, WatchEvent};
 
 const ENTRY: &str = r#"{"name":"s-1","address":"127.0.0.1:8081","zone":"a","type":"m2","group":3,"status":"draining","weight":1.5,"since_ms":1700000000123}"#;
 
@@ -17,7 +18,7 @@
 }
 
 fn read(pieces: &[Vec<u8>]) -> (Vec<WatchEvent>, Result<bool, WatchError>) {
-    let mut watch = Watch::default();
+    let mut watch = WatchDecoder::default();
     let mut all = Vec::new();
     for piece in pieces {
         watch.feed(piece);
@@ -144,7 +145,7 @@
     assert_eq!(read_in_every_split(&format!("{ok}{}", chunk(half))), (Vec::new(), Ok(false)));
     // Text after it on its line is not a list and fails the watch.
     let (events, end) = read_in_every_split(&format!("{ok}{}", chunk(&format!("{list} and more\n"))));
-    assert_eq!((events.len(), end), (1, Err(WatchError::List(EndpointListError::NotJson))));
+    assert_eq!((events.len(), end), (1, Err(WatchError::EndpointList(EndpointListError::NotJson))));
 }
 
 #[test]
@@ -152,15 +153,15 @@
     let ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let cases = [
         ("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(), WatchError::Status(503)),
-        ("SSH-2.0-x\r\n\r\n".to_owned(), WatchError::Http(HttpError::BadStart)),
+        ("SSH-2.0-x\r\n\r\n".to_owned(), WatchError::Http(HttpError::BadStartLine)),
         ("RTSP/1.0 200 OK\r\n\r\n".to_owned(), WatchError::Http(HttpError::BadVersion)),
-        (format!("{ok}zz\r\n"), WatchError::Http(HttpError::BadChunk)),
-        (format!("{ok}{}", chunk("no list\n")), WatchError::List(EndpointListError::NotJson)),
+        (format!("{ok}zz\r\n"), WatchError::Http(HttpError::BadChunkedCoding)),
+        (format!("{ok}{}", chunk("no list\n")), WatchError::EndpointList(EndpointListError::NotJson)),
     ];
     for (text, expected) in cases {
         assert_eq!(read_in_every_split(&text), (Vec::new(), Err(expected)), "for {text}");
     }
-    let mut watch = Watch::default();
+    let mut watch = WatchDecoder::default();
     watch.feed(b"HTTP/1.1 200 OK\r\n\r\n");
     watch.feed(&vec![b'a'; 4 * 1024 * 1024]);
     assert_eq!(watch.next_event(), Ok(None));
@@ -171,7 +172,7 @@
 #[test]
 fn missing_or_invalid_list_fields_are_named() {
     let line = |entry: &str| format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{entry}]}}");
-    assert!(parse(line(ENTRY).as_bytes(), &Names::default()).is_ok());
+    assert!(parse_list_update(line(ENTRY).as_bytes(), &WireNames::default()).is_ok());
     for (from, to, key) in [
         ("\"name\":\"s-1\",", "", "name"),
         ("127.0.0.1:8081", "", "address"),
@@ -181,7 +182,7 @@
         ("1700000000123", "-5", "since_ms"),
     ] {
         assert_eq!(
-            parse(line(&ENTRY.replace(from, to)).as_bytes(), &Names::default()),
+            parse_list_update(line(&ENTRY.replace(from, to)).as_bytes(), &WireNames::default()),
             Err(EndpointListError::InvalidField(InvalidField { key: key.into() })),
             "without {from}"
         );
@@ -192,12 +193,15 @@
         ("{\"index\":1,\"snapshot\":true}", "endpoints"),
     ] {
         assert_eq!(
-            parse(text.as_bytes(), &Names::default()),
+            parse_list_update(text.as_bytes(), &WireNames::default()),
             Err(EndpointListError::InvalidField(InvalidField { key: key.into() }))
         );
     }
-    let gone = parse(line("{\"name\":\"s-1\",\"status\":\"removed\"}").as_bytes(), &Names::default())
-        .expect("a removed endpoint needs no more");
+    let gone = parse_list_update(
+        line("{\"name\":\"s-1\",\"status\":\"removed\"}").as_bytes(),
+        &WireNames::default(),
+    )
+    .expect("a removed endpoint needs no more");
     assert_eq!(gone.entries[0].status, Status::Removed);
 }
 
@@ -216,7 +220,8 @@
 
 #[test]
 fn watch_request_states_the_known_version() {
-    let request = String::from_utf8(watch_request(&Names::default(), "127.0.0.1:8500", 41)).expect("text");
+    let request =
+        String::from_utf8(encode_watch_request(&WireNames::default(), "127.0.0.1:8500", 41)).expect("text");
     assert!(
         request.starts_with("GET /registry/instances?watch=1&after=41 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n")
     );
