--- a/crates/faultnet/src/flow.rs
+++ b/crates/faultnet/src/flow.rs
@@ -8,7 +8,7 @@
     /// From the side that connected towards the target.
     Forward,
     /// From the target back.
-    Back,
+    Backward,
 }
 
 /// What happens to the next chunk.
@@ -28,7 +28,7 @@
         match (fault, direction) {
             (Fault::Heal, _) | (Fault::OneWay, Direction::Forward) => Flow::Pass(0),
             (Fault::Drop, _) => Flow::Close,
-            (Fault::Stall, _) | (Fault::OneWay, Direction::Back) => Flow::Hold,
+            (Fault::Stall, _) | (Fault::OneWay, Direction::Backward) => Flow::Hold,
             (Fault::Delay { ms, .. }, _) => Flow::Pass(ms + jitter),
         }
     }
--- a/crates/faultnet/src/lib.rs
+++ b/crates/faultnet/src/lib.rs
@@ -10,7 +10,7 @@
 //! | [`Fault::Delay`] | kept | taken | forwarded, each chunk after the delay and a seeded jitter |
 //!
 //! Held bytes stay in the kernel's buffers and flow again on heal, as after a stall of a real link. Bounds: at
-//! most [`MAX_CONNECTIONS`] at once (more are closed at once), chunks of [`CHUNK`] bytes. Every change of fault
+//! most [`MAX_CONNECTIONS`] at once (more are closed at once), chunks of [`MAX_CHUNK_BYTES`] bytes. Every change of fault
 //! and every end of a connection is logged with its reason.
 
 #![warn(missing_docs)]
@@ -24,7 +24,7 @@
 /// Most connections that one proxy forwards at once.
 pub const MAX_CONNECTIONS: usize = 64;
 /// Most bytes read at a time.
-pub const CHUNK: usize = 16 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
 /// The fault of a proxy's link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/faultnet/src/proxy.rs
+++ b/crates/faultnet/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The proxy's sockets: thin pumps that ask [`Flow::of`] before each chunk.
 
 use crate::flow::{Direction, Flow};
-use crate::{Fault, CHUNK, MAX_CONNECTIONS};
+use crate::{Fault, MAX_CHUNK_BYTES, MAX_CONNECTIONS};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use slog::{info, Logger};
@@ -69,7 +69,7 @@
     }
 
     /// Sets the fault; it holds for every connection from the next chunk on.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         let before = self.fault.send_replace(fault);
         if before != fault {
             info!(self.log, "fault set"; "fault" => ?fault, "before" => ?before);
@@ -157,7 +157,7 @@
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
     let forward = Pump::new(client_read, server_write, Direction::Forward, fault.clone(), seed);
-    let back = Pump::new(server_read, client_write, Direction::Back, fault, seed.rotate_left(17));
+    let back = Pump::new(server_read, client_write, Direction::Backward, fault, seed.rotate_left(17));
     tokio::select! {
         reason = forward.run() => reason,
         reason = back.run() => reason,
@@ -186,7 +186,7 @@
 
     /// Forwards chunks as the fault allows, until this direction ends.
     async fn run(mut self) -> EndReason {
-        let mut buffer = vec![0u8; CHUNK];
+        let mut buffer = vec![0u8; MAX_CHUNK_BYTES];
         loop {
             let fault = *self.fault.borrow_and_update();
             let jitter = match fault {
--- a/crates/faultnet/tests/faults.rs
+++ b/crates/faultnet/tests/faults.rs
@@ -41,9 +41,9 @@
     let proxy = Proxy::start("p", "127.0.0.1:0".parse().unwrap(), echo().await, 1, log()).await.unwrap();
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     assert_eq!(round(&mut stream, 1_000).await.as_deref(), Some(&b"ping"[..]));
-    proxy.set(Fault::Stall);
+    proxy.set_fault(Fault::Stall);
     assert_eq!(round(&mut stream, 200).await, None, "bytes passed a stall");
-    proxy.set(Fault::Heal);
+    proxy.set_fault(Fault::Heal);
     let mut got = [0u8; 4];
     tokio::time::timeout(Duration::from_secs(1), stream.read_exact(&mut got)).await.unwrap().unwrap();
     assert_eq!(&got, b"ping", "what was held came after the heal");
@@ -54,13 +54,13 @@
     let proxy = Proxy::start("p", "127.0.0.1:0".parse().unwrap(), echo().await, 1, log()).await.unwrap();
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     assert!(round(&mut stream, 1_000).await.is_some());
-    proxy.set(Fault::Drop);
+    proxy.set_fault(Fault::Drop);
     let mut got = [0u8; 1];
     let read = tokio::time::timeout(Duration::from_secs(1), stream.read(&mut got)).await.unwrap();
     assert!(matches!(read, Ok(0) | Err(_)), "an open connection outlived a drop: {read:?}");
     let mut new = TcpStream::connect(proxy.addr()).await.unwrap();
     assert_eq!(round(&mut new, 300).await, None);
-    proxy.set(Fault::Heal);
+    proxy.set_fault(Fault::Heal);
     let mut again = TcpStream::connect(proxy.addr()).await.unwrap();
     assert!(round(&mut again, 1_000).await.is_some(), "no connection after heal");
 }
@@ -69,9 +69,9 @@
 async fn one_way_passes_towards_the_target_only_and_delay_is_late() {
     let proxy = Proxy::start("p", "127.0.0.1:0".parse().unwrap(), echo().await, 7, log()).await.unwrap();
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
-    proxy.set(Fault::OneWay);
+    proxy.set_fault(Fault::OneWay);
     assert_eq!(round(&mut stream, 200).await, None, "an answer came back through a cut");
-    proxy.set(Fault::Delay { ms: 150, jitter_ms: 20 });
+    proxy.set_fault(Fault::Delay { ms: 150, jitter_ms: 20 });
     let mut got = [0u8; 4];
     tokio::time::timeout(Duration::from_secs(1), stream.read_exact(&mut got)).await.unwrap().unwrap();
     assert_eq!(&got, b"ping", "the echo of what went forward during the cut");
--- a/crates/faultshim/tests/common/mod.rs
+++ b/crates/faultshim/tests/common/mod.rs
@@ -2,7 +2,8 @@
 #![allow(dead_code)] // each test file uses its own part of it
 
 use pinetrestle_standins::{
-    config_json, entries_at, eventually, list, query, Client, Discovery, Program, Server, ServerBehavior,
+    config_json, endpoint_list, entries_at, eventually, query, Client, Discovery, FrontNode, Server,
+    ServerBehavior,
 };
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -81,7 +82,7 @@
     /// Discovery.
     pub discovery: Discovery,
     /// The front node, ready.
-    pub program: Program,
+    pub program: FrontNode,
     /// Its faults.
     pub faults: Faults,
     /// When it was about to be started.
@@ -99,11 +100,13 @@
         let servers: Vec<Server> = (0..6).map(|_| Server::start(ServerBehavior::Serving)).collect();
         let lines = entries_at(servers.iter().map(|server| server.address));
         let discovery = Discovery::start(lines.clone());
-        let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(1, &lines));
+        let mut config =
+            config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &lines));
         change(&mut config);
         let faults = Faults::planned(plan);
         let begun = Instant::now();
-        let program = Program::start_under(&format!("{first}; {}", faults.shell()), &node(), &config);
+        let program =
+            FrontNode::start_with_shell_setup(&format!("{first}; {}", faults.shell()), &node(), &config);
         let stage = Stage { servers, discovery, program, faults, begun };
         eventually("ready", || {
             status(stage.program.address, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
@@ -114,7 +117,7 @@
 
 /// The status of the answer to a request on a connection of its own; 0 where the connection ended without one.
 pub fn status(address: SocketAddr, text: &str) -> u16 {
-    let mut client = Client::to(address);
+    let mut client = Client::connect(address);
     if !client.try_write(text.as_bytes()) {
         return 0;
     }
@@ -123,14 +126,14 @@
 
 /// Statuses of so many queries, asked one after the other on one connection as long as that lasts.
 pub fn ask(address: SocketAddr, class: &str, shards: &[u32], many: usize) -> Vec<u16> {
-    let mut client = Client::to(address);
+    let mut client = Client::connect(address);
     let mut statuses = Vec::with_capacity(many);
     for _ in 0..many {
         let text = query(class, shards, 2000).1;
         let answer = if client.try_write(text.as_bytes()) { client.try_read() } else { None };
         statuses.push(answer.as_ref().map_or(0, |answer| answer.status));
         if answer.is_none() {
-            client = Client::to(address);
+            client = Client::connect(address);
         }
     }
     statuses
--- a/crates/faultshim/tests/machine.rs
+++ b/crates/faultshim/tests/machine.rs
@@ -5,7 +5,7 @@
 
 use common::{ask, count, holders, ms, node, status, wall_ms, Faults, Stage};
 use pinetrestle_standins::{
-    config_json, eventually, list, query, Discovery, Program, TimestampingServer, WorkProfile,
+    config_json, endpoint_list, eventually, query, Discovery, FrontNode, TimestampingServer, WorkProfile,
 };
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -19,7 +19,11 @@
     assert!(stage.faults.met() > 200, "{} faults", stage.faults.met());
     assert_eq!(count(&statuses, 200), 400, "{statuses:?}");
     for side in ["index_server", "discovery"] {
-        assert!(stage.program.reasons(side).is_empty(), "{side}: {:?}", stage.program.reasons(side));
+        assert!(
+            stage.program.close_reasons(side).is_empty(),
+            "{side}: {:?}",
+            stage.program.close_reasons(side)
+        );
     }
 }
 
@@ -66,7 +70,7 @@
         assert!(stage.faults.met() > 0, "{error}: no fault was met");
         assert_eq!(count(&statuses, 200), 30, "{error}: {statuses:?}");
         assert_eq!(stage.program.stats()["attempts"]["connect_failed"], 0, "{error}");
-        assert_eq!(stage.program.count(&["marked as outlier"]), 0, "{error}");
+        assert_eq!(stage.program.count_log_lines(&["marked as outlier"]), 0, "{error}");
     }
 }
 
@@ -91,11 +95,11 @@
             let _ = status(stage.program.address, "GET /health/live HTTP/1.1\r\n\r\n");
             stage.begun.elapsed() > ms(2100)
         });
-        let text = std::fs::read_to_string(stage.program.file()).expect("the configuration");
+        let text = std::fs::read_to_string(stage.program.config_file()).expect("the configuration");
         stage.program.reload(Some(&text));
-        eventually("it is taken", || stage.program.count(&["configuration reloaded"]) == 1);
+        eventually("it is taken", || stage.program.count_log_lines(&["configuration reloaded"]) == 1);
         assert!(stage.faults.met() > met, "{error}: no fault was met at the reload");
-        assert_eq!(stage.program.count(&["configuration rejected"]), 0, "{error}");
+        assert_eq!(stage.program.count_log_lines(&["configuration rejected"]), 0, "{error}");
     }
 }
 
@@ -113,7 +117,7 @@
     servers: Vec<TimestampingServer>,
     addresses: Vec<SocketAddr>,
     discovery: Discovery,
-    program: Program,
+    program: FrontNode,
 }
 
 /// Three holders, whose parts take so long. Two started a minute ago, by the true clock, and are warm; the third has
@@ -128,10 +132,10 @@
         holders(&addresses[..2], wall_ms() - 60_000)
     };
     let discovery = Discovery::start(lines.clone());
-    let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(1, &lines));
+    let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &lines));
     config["settings"]["rules"]["cold_share"] = json!(0.1);
     let faults = Faults::planned(&format!("realtime={offset_ms}"));
-    let program = Program::start_under(&faults.shell(), &node(), &config);
+    let program = FrontNode::start_with_shell_setup(&faults.shell(), &node(), &config);
     eventually("ready", || program.get("/health/ready").0 == 200);
     ClockOff { servers, addresses, discovery, program }
 }
@@ -144,7 +148,7 @@
 }
 
 /// Asks on two connections at once for so long.
-fn ask_for(program: &Program, lasts: Duration) {
+fn ask_for(program: &FrontNode, lasts: Duration) {
     let until = Instant::now() + lasts;
     thread::scope(|scope| {
         for _ in 0..2 {
@@ -161,7 +165,8 @@
 /// The settings: a tenth of a core at first, warm after 5 s; three times that falls it within 1 s.
 fn assert_not_pushed_over(holder: &TimestampingServer, started: Instant, work_ms: u64, what: &str) {
     let parts = holder.received().into_iter().filter(|seen| !seen.parts.is_empty());
-    let moments: Vec<u64> = parts.map(|seen| seen.at.duration_since(started).as_millis() as u64).collect();
+    let moments: Vec<u64> =
+        parts.map(|seen| seen.read_at.duration_since(started).as_millis() as u64).collect();
     for (place, from) in moments.iter().enumerate() {
         let within = moments[place..].iter().take_while(|at| **at < from + 1000).count() as f64;
         let warmth = (0.1 + 0.9 * *from as f64 / 5000.0).min(1.0);
--- a/crates/faultshim/tests/soak.rs
+++ b/crates/faultshim/tests/soak.rs
@@ -14,8 +14,8 @@
 
 use common::{ms, node, wall_ms, Faults};
 use pinetrestle_standins::{
-    config_json, entries, list, log_field, query, Answer, Client, Discovery, DiscoveryBehavior, Program,
-    Server, ServerBehavior, WatchFault,
+    config_json, endpoint_list, entries, log_field, query, Answer, Client, Discovery, DiscoveryBehavior,
+    FrontNode, Server, ServerBehavior, WatchFault,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -51,7 +51,7 @@
 
 /// One place for a front node and the process that holds it now.
 struct Place {
-    program: Program,
+    program: FrontNode,
     faults: Faults,
     /// It is killed without a word: what it held may be lost.
     killed: Arc<AtomicBool>,
@@ -116,7 +116,7 @@
 
 impl Soak {
     fn config(&self, place: usize) -> Value {
-        let known = list(1, &entries(&self.servers));
+        let known = endpoint_list(1, &entries(&self.servers));
         let discovery = self.discoveries[place % 2].address.to_string();
         let mut config = config_json("127.0.0.1:0", &discovery, &known);
         config["name"] = json!(format!("n{place}"));
@@ -131,7 +131,7 @@
         let faults = Faults::planned(&plan(random));
         let recorder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/recorder.json5");
         let program = format!("{} --recorder {recorder}", node());
-        let program = Program::start_under(&faults.shell(), &program, &self.config(place));
+        let program = FrontNode::start_with_shell_setup(&faults.shell(), &program, &self.config(place));
         Place { program, faults, killed: Arc::default() }
     }
 
@@ -322,13 +322,14 @@
     }
 
     /// What the counters of a process say against it; its log, with the flight recorder's records, is kept then.
-    fn judge(&self, name: &str, stats: &Value, program: &Program) {
+    fn judge(&self, name: &str, stats: &Value, program: &FrontNode) {
         let before = self.broken.lock().expect("no panic").len();
         self.judge_counters(name, stats);
         if self.broken.lock().expect("no panic").len() > before {
             let path =
-                std::env::temp_dir().join(format!("soak-{}-{}.log", program.id(), name.replace(", ", "-")));
-            let kept = std::fs::write(&path, program.lines().join("\n")).map(|()| path.display().to_string());
+                std::env::temp_dir().join(format!("soak-{}-{}.log", program.pid(), name.replace(", ", "-")));
+            let kept =
+                std::fs::write(&path, program.log_lines().join("\n")).map(|()| path.display().to_string());
             self.breaks(format!("{name}: its log and records: {kept:?}"));
         }
     }
@@ -355,12 +356,12 @@
 
     /// Waits for a process that was told to end.
     fn bury(&self, mut place: Place) {
-        let code = place.program.wait();
+        let code = place.program.wait_for_exit();
         if code != Some(0) {
             self.breaks(format!("a process that was told to end ended with {code:?}"));
         }
         self.faults_met.fetch_add(place.faults.met() as u64, Ordering::Relaxed);
-        let lines = place.program.lines();
+        let lines = place.program.log_lines();
         let counters = lines.iter().rev().find(|line| line.contains("msg=\"counters\""));
         let Some(text) = counters.and_then(|line| line.split_once(" all=")) else {
             return self.breaks("a process ended in order and said no counters".to_owned());
@@ -380,8 +381,8 @@
         for part in self.servers.iter().flat_map(Server::received) {
             let query = part.id.split('.').next().and_then(|id| sent.get(id)).expect("a query that was sent");
             let ends = query.at + ms(EXPIRES_MS) + TOLD_SLACK + READ_WITHIN;
-            if part.at + part.time_left() > ends {
-                let over = part.at + part.time_left() - ends;
+            if part.read_at + part.time_left() > ends {
+                let over = part.read_at + part.time_left() - ends;
                 self.breaks(format!(
                     "{} is told {:?}, {over:?} over what is left",
                     part.id,
@@ -390,11 +391,11 @@
             }
             if let Some(gone) = query.gone {
                 left += 1;
-                if part.at > gone + GONE_SLACK + READ_WITHIN {
+                if part.read_at > gone + GONE_SLACK + READ_WITHIN {
                     self.breaks(format!(
                         "{} was read {:?} after its client had gone",
                         part.id,
-                        part.at - gone
+                        part.read_at - gone
                     ));
                 }
             }
--- a/crates/member/benches/fleet.rs
+++ b/crates/member/benches/fleet.rs
@@ -37,7 +37,7 @@
 }
 
 async fn wait_until_ready(load: &Load, members: u64) {
-    while load.ready() < members as usize {
+    while load.ready_count() < members as usize {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -71,13 +71,13 @@
     let end_us = wall_us();
     load.stop();
     let asked = load.queries();
-    let during = asked.iter().filter(|a| a.at_us >= release_us).count();
+    let during = asked.iter().filter(|a| a.started_at_us >= release_us).count();
     let bad = asked.iter().filter(|a| a.status != 200).count();
     println!(
         "{members} members, budget {budget}: {:.1} s; most away {}; queries {during} during, {bad} of {} not 200; \
          p99 {:.1} ms quiet, {:.1} ms during",
         took.as_secs_f64(),
-        load.most_away(release_us),
+        load.most_unready(release_us),
         asked.len(),
         p99_ms(&asked, quiet_us, release_us),
         p99_ms(&asked, release_us, end_us)
@@ -311,7 +311,7 @@
     let load = Arc::new(Load::start(&fleet.front_nodes, 0, Duration::from_millis(10)));
     wait_until_ready(&load, members).await;
     kill_all(&mut fleet, members);
-    while load.ready() > 0 {
+    while load.ready_count() > 0 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -328,7 +328,7 @@
     for id in 1..=members {
         fleet.start_member(id);
     }
-    while load.ready() < members as usize && begun.elapsed() < 2 * WAIT_LIMIT {
+    while load.ready_count() < members as usize && begun.elapsed() < 2 * WAIT_LIMIT {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let took = begun.elapsed();
--- a/crates/member/tests/command_line.rs
+++ b/crates/member/tests/command_line.rs
@@ -55,7 +55,7 @@
 #[test]
 fn a_member_that_can_not_be_reached_has_exit_code_1() {
     // Nothing listens on a reserved address: connections are refused.
-    let reserved = pinetrestle_standins::ReservedAddress::start();
+    let reserved = pinetrestle_standins::ReservedAddress::reserve();
     let address = reserved.address.to_string();
     let (code, message) = outcome(&["fleet", "status", "--at", &address, "--wait", "1"]);
     assert_eq!(code, Some(1), "{message}");
--- a/crates/member/tests/common/fleet.rs
+++ b/crates/member/tests/common/fleet.rs
@@ -4,7 +4,7 @@
 use pinetrestle_member::client;
 use pinetrestle_member::status::{RolloutView, Status};
 use pinetrestle_member::wire::{Request, Response};
-use pinetrestle_standins::{config_json, entries, list, Discovery, Server, ServerBehavior};
+use pinetrestle_standins::{config_json, endpoint_list, entries, Discovery, Server, ServerBehavior};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -110,7 +110,7 @@
         let known = entries(&self.servers);
         let listen = self.front_nodes[id as usize - 1].to_string();
         let relay = self.relays[id as usize - 1].to_string();
-        let mut file = config_json(&listen, &relay, &list(1, &known));
+        let mut file = config_json(&listen, &relay, &endpoint_list(1, &known));
         file["name"] = format!("n{id}").into();
         file["transport"] = serde_json::json!({ "hand_over_ms": 200 });
         if version == "broken" {
--- a/crates/member/tests/common/mod.rs
+++ b/crates/member/tests/common/mod.rs
@@ -79,7 +79,7 @@
     pub fn set_fault(&self, is_cut: impl Fn(u64, u64) -> bool, fault: Fault) {
         for (&(from, to), proxy) in &self.0 {
             if is_cut(from, to) {
-                proxy.set(fault);
+                proxy.set_fault(fault);
             }
         }
     }
--- a/crates/member/tests/dark.rs
+++ b/crates/member/tests/dark.rs
@@ -45,7 +45,7 @@
 }
 
 async fn wait_until_all_ready(load: &Load) {
-    while load.ready() < 7 {
+    while load.ready_count() < 7 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -130,7 +130,7 @@
     kill_everything(&mut fleet);
     let power_lost_us = wall_us();
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(load.ready(), 0, "seed {seed}: something serves without power");
+    assert_eq!(load.ready_count(), 0, "seed {seed}: something serves without power");
     let victim = random.random_range(1..=MEMBERS);
     let cut = cut_log_tail(&dir.path().join(format!("data-{victim}")), &mut random).unwrap_or(0);
 
@@ -155,10 +155,10 @@
     let counts = load.ready_counts(power_back_us);
     check_waves(seed, &counts, power_back_us, &fleet);
     let asked = load.queries();
-    let twice: Vec<_> = asked.iter().filter(|a| a.more > 0).collect();
+    let twice: Vec<_> = asked.iter().filter(|a| a.excess_bytes > 0).collect();
     assert!(twice.is_empty(), "seed {seed}: answered twice: {twice:?}");
     // Queries open when the power went have no answer; those asked after it have one.
-    let after: Vec<_> = asked.iter().filter(|a| a.at_us > power_lost_us + 100_000).collect();
+    let after: Vec<_> = asked.iter().filter(|a| a.started_at_us > power_lost_us + 100_000).collect();
     let lost: Vec<_> = after.iter().filter(|a| a.status == 0).collect();
     assert!(lost.is_empty(), "seed {seed}: unanswered: {lost:?}");
     Report {
--- a/crates/member/tests/seven.rs
+++ b/crates/member/tests/seven.rs
@@ -146,11 +146,11 @@
     let mut random = StdRng::seed_from_u64(seed);
     let mut load = Load::start(&fleet.front_nodes, 4, Duration::from_millis(10));
     fleet.wait_until("all serve", WAIT_LIMIT, all_serve).await;
-    while load.ready() < 7 {
+    while load.ready_count() < 7 {
         sleep_ms(20).await;
     }
     let quiet_us = wall_us();
-    let nowhere_before = load.nowhere();
+    let nowhere_before = load.rounds_without_ready_node();
     sleep_ms(1_500).await;
     let release_us = wall_us();
 
@@ -171,9 +171,9 @@
     sleep_ms(300).await;
     load.stop();
     let asked = load.queries();
-    let bad: Vec<_> = asked.iter().filter(|a| a.status == 0 || a.more > 0).collect();
+    let bad: Vec<_> = asked.iter().filter(|a| a.status == 0 || a.excess_bytes > 0).collect();
     assert!(bad.is_empty(), "seed {seed}: unanswered or answered twice: {bad:?}");
-    let most_away = load.most_away(release_us);
+    let most_away = load.most_unready(release_us);
     assert!(most_away <= budget, "seed {seed}: {most_away} front nodes away, {budget} allowed");
     Report {
         release_ms,
@@ -184,7 +184,7 @@
         most_away,
         quiet_p99_ms: p99_ms(&asked, quiet_us, release_us),
         release_p99_ms: p99_ms(&asked, release_us, release_end_us),
-        nowhere: load.nowhere() - nowhere_before,
+        nowhere: load.rounds_without_ready_node() - nowhere_before,
     }
 }
 
@@ -200,7 +200,7 @@
 /// The number of front nodes whose relay lists the first index server as up.
 fn nodes_listing_first_server_up(fleet: &Fleet) -> usize {
     let up = |relay: &SocketAddr| {
-        let list = Client::to(*relay)
+        let list = Client::connect(*relay)
             .send("GET /registry/instances HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             .json();
         let is_up = |entry: &&serde_json::Value| entry["name"] == "s0" && entry["status"] == "up";
@@ -299,7 +299,7 @@
     fleet.wait_until("it is seen to be out", WAIT_LIMIT, one_out).await;
     assert_budget_is_used(&fleet, "s0", "d4", 6);
     load.stop();
-    let bad: Vec<_> = load.queries().into_iter().filter(|a| a.status != 200 || a.more > 0).collect();
+    let bad: Vec<_> = load.queries().into_iter().filter(|a| a.status != 200 || a.excess_bytes > 0).collect();
     assert!(bad.is_empty(), "not answered whole and once: {bad:?}");
 }
 
--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -4,7 +4,8 @@
 mod stage;
 
 use pinetrestle_standins::{
-    config_json, entries, eventually, list, query, Client, Discovery, Program, Server, ServerBehavior,
+    config_json, endpoint_list, entries, eventually, query, Client, Discovery, FrontNode, Server,
+    ServerBehavior,
 };
 use serde_json::json;
 use stage::Stage;
@@ -22,9 +23,9 @@
     }
     assert!(stage.program.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
     eventually("the longest idle connections were evicted", || {
-        stage.program.reasons("client").iter().any(|reason| reason == "made_room")
+        stage.program.close_reasons("client").iter().any(|reason| reason == "made_room")
     });
-    assert!(flood.first_mut().expect("one").is_ended());
+    assert!(flood.first_mut().expect("one").is_closed());
     assert!(stage.program.is_running());
     assert_eq!(stage.program.stats()["connections"]["accept_failed"], 0);
 }
@@ -33,10 +34,11 @@
 fn a_flood_under_a_lower_descriptor_limit_prevents_no_answer() {
     let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
-    let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(1, &entries(&servers)));
-    let program = Program::start_under("ulimit -n 72", NODE, &config);
-    let _flood: Vec<Client> = (0..100).map(|_| Client::to(program.address)).collect();
-    let answer = Client::to(program.address).send(&query("all", &[0, 1, 2], 2000).1);
+    let config =
+        config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
+    let program = FrontNode::start_with_shell_setup("ulimit -n 72", NODE, &config);
+    let _flood: Vec<Client> = (0..100).map(|_| Client::connect(program.address)).collect();
+    let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).1);
     assert_eq!(answer.status, 200, "{answer:?}");
     let stats = program.stats();
     assert_eq!(
@@ -53,9 +55,9 @@
     slow.write(b"POST /all HTTP/1.1\r\nContent-Le");
     assert_eq!(stage.client().send(&query("all", &[0], 2000).1).status, 200);
     assert_eq!(slow.read().status, 408);
-    assert!(slow.is_ended());
+    assert!(slow.is_closed());
     eventually("the close is logged", || {
-        stage.program.reasons("client").contains(&"request_timeout".to_owned())
+        stage.program.close_reasons("client").contains(&"request_timeout".to_owned())
     });
 }
 
@@ -71,7 +73,7 @@
         stage.program.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
     });
     assert_eq!(stage.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
-    let peak = stage.program.peak_kb();
+    let peak = stage.program.peak_memory_kb();
     assert!(peak < 64 * 1024, "{peak} kB for 18 MB of bodies");
 }
 
@@ -82,7 +84,9 @@
     let mut unread = stage.client();
     // More answers than the kernel's buffers hold.
     unread.write("GET /stats HTTP/1.1\r\n\r\n".repeat(8000).as_bytes());
-    eventually("it is closed", || stage.program.reasons("client").contains(&"write_stalled".to_owned()));
+    eventually("it is closed", || {
+        stage.program.close_reasons("client").contains(&"write_stalled".to_owned())
+    });
     assert_eq!(stage.client().send(&query("all", &[0], 2000).1).status, 200);
 }
 
@@ -91,14 +95,15 @@
     // The program's output goes into a pipe that the test never reads.
     let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
-    let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(1, &entries(&servers)));
-    let program = pinetrestle_standins::ProgramWithUnreadLog::start(NODE, &config);
+    let config =
+        config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
+    let program = pinetrestle_standins::FrontNodeWithUnreadLog::start(NODE, &config);
     // Each connection logs a line of over a hundred bytes; the pipe holds 64 KiB.
     for _ in 0..2500 {
-        Client::to(program.address).send("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
+        Client::connect(program.address).send("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
     }
-    let answer = Client::to(program.address).send(&query("all", &[0, 1, 2], 2000).1);
+    let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).1);
     assert_eq!(answer.status, 200);
-    let stats = Client::to(program.address).send("GET /stats HTTP/1.1\r\n\r\n").json();
+    let stats = Client::connect(program.address).send("GET /stats HTTP/1.1\r\n\r\n").json();
     assert_eq!(stats["connections"]["requests"].as_u64(), Some(2502));
 }
--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -2,8 +2,8 @@
 //! so that it finds the disconnect together with the event that would have led to the next step.
 
 use pinetrestle_standins::{
-    config_json, entries_at, eventually, list, query, Client, Discovery, PendingAddress, Program, Server,
-    ServerBehavior, SmallDeployment,
+    config_json, endpoint_list, entries_at, eventually, query, Client, Discovery, FrontNode, PendingAddress,
+    Server, ServerBehavior, SmallDeployment,
 };
 use serde_json::Value;
 use std::net::Shutdown;
@@ -42,7 +42,7 @@
 }
 
 fn stage_with(doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
-    SmallDeployment::with(NODE, doing, change)
+    SmallDeployment::start(NODE, doing, change)
 }
 
 /// The query is over for the front node, and no further part is sent in the time that a next step would take.
@@ -122,22 +122,22 @@
 fn disconnect_withdraws_parts_queued_for_a_slow_connection() {
     for how in ALL_DISCONNECTS {
         for may_cancel in [true, false] {
-            let late: Vec<PendingAddress> = (0..3).map(|_| PendingAddress::start()).collect();
-            let known = list(1, &entries_at(late.iter().map(|server| server.address)));
+            let late: Vec<PendingAddress> = (0..3).map(|_| PendingAddress::reserve()).collect();
+            let known = endpoint_list(1, &entries_at(late.iter().map(|server| server.address)));
             let discovery = Discovery::start(known["endpoints"].as_array().expect("entries").clone());
             let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
             config["transport"] = serde_json::json!({"connect_ms": 5000});
             config["settings"]["permissions"]["cancel"] = may_cancel.into();
             config["settings"]["classes"][1]["aim"] = 2_900_000.into();
-            let program = Program::start_ready(NODE, &config);
-            let mut client = Client::to(program.address);
+            let program = FrontNode::start_ready(NODE, &config);
+            let mut client = Client::connect(program.address);
             client.write(query("all", &[0, 1, 2], 2900).1.as_bytes());
             eventually("it is admitted", || program.stats()["attempts"]["out"] == 3);
             let kept = disconnect(client, how);
             eventually("it is counted as gone", || program.stats()["queries"]["all"]["gone"] == 1);
             let servers: Vec<Server> =
-                late.into_iter().map(|late| late.open(ServerBehavior::Serving)).collect();
-            let up = || servers.iter().all(|server| server.connections() >= 2);
+                late.into_iter().map(|late| late.start_server(ServerBehavior::Serving)).collect();
+            let up = || servers.iter().all(|server| server.accepted_connections() >= 2);
             eventually("the connections are established", up);
             thread::sleep(ms(150));
             let seen: usize = servers.iter().map(|server| server.received().len()).sum();
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each test file uses its own part of it
 
 use pinetrestle_node::Config;
-use pinetrestle_standins::{config_json, entry, list};
+use pinetrestle_standins::{config_json, endpoint_list, entry};
 use serde_json::Value;
 
 /// Index of the class that needs any two of three parts.
@@ -22,7 +22,7 @@
 pub fn config_with(change: impl FnOnce(&mut Value)) -> Config {
     let entries: Vec<Value> =
         (0..6).map(|n| entry(&format!("s{n}"), &format!("127.0.0.1:{}", 7000 + n), n % 3)).collect();
-    let mut file = config_json("127.0.0.1:0", "127.0.0.1:1", &list(1, &entries));
+    let mut file = config_json("127.0.0.1:0", "127.0.0.1:1", &endpoint_list(1, &entries));
     change(&mut file["settings"]);
     Config::from_json(&file).expect("a valid configuration")
 }
--- a/crates/node/tests/common/stage.rs
+++ b/crates/node/tests/common/stage.rs
@@ -1,7 +1,7 @@
 //! Six index servers, discovery and the front node's program on sockets.
 #![allow(dead_code)] // each test file uses its own part of it
 
-use pinetrestle_standins::{eventually, query, Client, Discovery, Program, Server, ServerBehavior};
+use pinetrestle_standins::{eventually, query, Client, Discovery, FrontNode, Server, ServerBehavior};
 use serde_json::Value;
 
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
@@ -10,14 +10,14 @@
 pub struct Stage {
     pub servers: Vec<Server>,
     pub discovery: Discovery,
-    pub program: Program,
+    pub program: FrontNode,
 }
 
 impl Stage {
     /// With something changed in the front node's configuration.
     pub fn with(doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> Stage {
         let pinetrestle_standins::SmallDeployment { servers, discovery, program } =
-            pinetrestle_standins::SmallDeployment::with(NODE, doing, change);
+            pinetrestle_standins::SmallDeployment::start(NODE, doing, change);
         Stage { servers, discovery, program }
     }
 
@@ -26,7 +26,7 @@
     }
 
     pub fn client(&self) -> Client {
-        Client::to(self.program.address)
+        Client::connect(self.program.address)
     }
 
     /// What all index servers do from now on.
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -14,7 +14,7 @@
 }
 
 fn stage_with(doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
-    SmallDeployment::with(NODE, doing, change)
+    SmallDeployment::start(NODE, doing, change)
 }
 
 fn stage_with_transport(transport: Value) -> SmallDeployment {
@@ -67,9 +67,9 @@
     assert_eq!(half.read().status, 200);
     assert_eq!(bare.send(&query("all", &[2], 2000).1).status, 200);
     for client in [&mut half, &mut bare, &mut complete] {
-        assert!(client.is_ended());
+        assert!(client.is_closed());
     }
-    assert_eq!(stage.program.wait(), Some(0));
+    assert_eq!(stage.program.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -81,8 +81,8 @@
     stage.program.terminate();
     let answer = half.read();
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("stopping")));
-    assert!(half.is_ended() && begun.elapsed() < ms(1500), "{:?}", begun.elapsed());
-    assert_eq!(stage.program.wait(), Some(0));
+    assert!(half.is_closed() && begun.elapsed() < ms(1500), "{:?}", begun.elapsed());
+    assert_eq!(stage.program.wait_for_exit(), Some(0));
     assert_eq!(stage.received(), 0);
 }
 
@@ -94,7 +94,7 @@
         let mut client = idle_client(&stage);
         if hand_over < paused {
             stage.program.terminate();
-            eventually("it is stopping", || stage.program.count(&["msg=\"stopping\""]) == 1);
+            eventually("it is stopping", || stage.program.count_log_lines(&["msg=\"stopping\""]) == 1);
         }
         stage.program.pause();
         client.write(query("all", &[0, 1], 2000).1.as_bytes());
@@ -104,8 +104,8 @@
         thread::sleep(ms(paused));
         stage.program.resume();
         assert_eq!(client.read().status, 200);
-        assert!(client.is_ended());
-        assert_eq!(stage.program.wait(), Some(0));
+        assert!(client.is_closed());
+        assert_eq!(stage.program.wait_for_exit(), Some(0));
     }
 }
 
@@ -114,7 +114,7 @@
     let mut stage = stage_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 3000}));
     let mut client = idle_client(&stage);
     stage.program.terminate();
-    eventually("it is stopping", || stage.program.count(&["msg=\"stopping\""]) == 1);
+    eventually("it is stopping", || stage.program.count_log_lines(&["msg=\"stopping\""]) == 1);
     stage.program.pause();
     let text: String = (0..5).map(|_| query("all", &[0], 2000).1).collect();
     client.write(text.as_bytes());
@@ -123,10 +123,10 @@
     let answers: Vec<_> = (0..5).map(|_| client.read()).collect();
     assert!(answers.iter().all(|answer| answer.status == 200), "{answers:?}");
     let says_close: Vec<bool> =
-        answers.iter().map(|answer| answer.fields.contains_key("connection")).collect();
+        answers.iter().map(|answer| answer.headers.contains_key("connection")).collect();
     assert_eq!(says_close, [false, false, false, false, true]);
-    assert!(client.is_ended());
-    assert_eq!(stage.program.wait(), Some(0));
+    assert!(client.is_closed());
+    assert_eq!(stage.program.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -153,7 +153,9 @@
     });
     stage.program.terminate();
     eventually("it is closing", || {
-        stage.program.count(&["reason=shutdown"]) + stage.program.count(&["msg=\"stopping\""]) >= 1
+        stage.program.count_log_lines(&["reason=shutdown"])
+            + stage.program.count_log_lines(&["msg=\"stopping\""])
+            >= 1
     });
     thread::sleep(ms(200));
     let mut complete = 0;
@@ -161,7 +163,7 @@
     while let Some(answer) = client.try_read() {
         assert_eq!(answer.status, 200);
         assert!(answer.json().is_object(), "complete");
-        last = answer.fields.get("connection").cloned();
+        last = answer.headers.get("connection").cloned();
         complete += 1;
         if last.is_some() {
             break;
@@ -169,10 +171,10 @@
     }
     assert!(complete > 1);
     assert_eq!(last.as_deref(), Some("close"), "the last of {complete} announces the close");
-    assert!(client.is_ended());
+    assert!(client.is_closed());
     drop(client);
     sender.join().expect("the sender ends");
-    assert_eq!(stage.program.wait(), Some(0));
+    assert_eq!(stage.program.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -187,7 +189,7 @@
     let before = stage.received();
     assert_closed_without_reset(&mut client);
     assert_eq!(stage.received(), before, "what arrives after the half-close is never forwarded");
-    eventually("the close is logged", || stage.program.reasons("client").contains(&"idle".to_owned()));
+    eventually("the close is logged", || stage.program.close_reasons("client").contains(&"idle".to_owned()));
 }
 
 #[test]
@@ -205,7 +207,7 @@
     let others: Vec<Client> = (0..3).map(|_| idle_client(&stage)).collect();
     let newcomer = thread::spawn({
         let address = stage.address();
-        move || Client::to(address).send(&query("all", &[0], 2000).1).status
+        move || Client::connect(address).send(&query("all", &[0], 2000).1).status
     });
     let before = stage.received();
     assert_closed_without_reset(&mut oldest);
@@ -223,7 +225,7 @@
     let open = || stage.program.stats()["connections"]["clients_open"].as_u64().expect("a count");
     // The request for the counters occupies a place itself and releases it each time.
     eventually("29 are idle and three places are free", || open() == 30);
-    assert!(!stage.program.reasons("client").iter().any(|reason| reason == "made_room"));
+    assert!(!stage.program.close_reasons("client").iter().any(|reason| reason == "made_room"));
     others.push(idle_client(&stage));
     assert_closed_without_reset(&mut oldest);
     eventually("a place is free again", || open() <= 31);
@@ -237,7 +239,7 @@
     stage.program.terminate();
     assert_closed_without_reset(&mut client);
     drop(client);
-    assert_eq!(stage.program.wait(), Some(0));
+    assert_eq!(stage.program.wait_for_exit(), Some(0));
     assert_eq!(stage.received(), before);
 }
 
@@ -275,19 +277,19 @@
         thread::sleep(ms(30));
         stage.program.terminate();
         assert_eq!(client.read().status, 200, "{order:?}");
-        assert_eq!(stage.program.wait(), Some(0), "{order:?}");
-        assert_eq!(stage.program.count(&["msg=\"stopping\""]), 1, "{order:?}");
+        assert_eq!(stage.program.wait_for_exit(), Some(0), "{order:?}");
+        assert_eq!(stage.program.count_log_lines(&["msg=\"stopping\""]), 1, "{order:?}");
     }
     // The watch of discovery stays open to the end.
     let stage = stage_with_transport(json!({}));
-    assert!(stage.discovery.watches() <= 2);
+    assert!(stage.discovery.watch_count() <= 2);
 }
 
 #[test]
 fn after_the_exit_connections_are_refused() {
     let mut stage = stage_with_transport(json!({"hand_over_ms": 50, "stop_within_ms": 500}));
     stage.program.terminate();
-    assert_eq!(stage.program.wait(), Some(0));
+    assert_eq!(stage.program.wait_for_exit(), Some(0));
     let refused = std::net::TcpStream::connect(stage.address()).map_err(|error| error.kind());
     assert_eq!(refused.err(), Some(ErrorKind::ConnectionRefused));
 }
--- a/crates/node/tests/deployment_isolation.rs
+++ b/crates/node/tests/deployment_isolation.rs
@@ -4,8 +4,8 @@
 use pinetrestle_node::config::DeploymentNames;
 use pinetrestle_protocol::names::Names;
 use pinetrestle_standins::{
-    config_json, entries, eventually, list, query, with_setting_aliases, Client, Discovery, Program, Server,
-    ServerBehavior,
+    config_json, endpoint_list, entries, eventually, query, with_setting_aliases, Client, Discovery,
+    FrontNode, Server, ServerBehavior,
 };
 use serde_json::{json, Value};
 use std::io::Write;
@@ -15,7 +15,7 @@
 struct Deployment {
     servers: Vec<Server>,
     _discovery: Discovery,
-    program: Program,
+    program: FrontNode,
     config: Value,
 }
 
@@ -23,17 +23,17 @@
     fn new(arguments: &str, change: impl FnOnce(&mut Value)) -> Deployment {
         let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
         let discovery = Discovery::start(entries(&servers));
-        let known = list(1, &entries(&servers));
+        let known = endpoint_list(1, &entries(&servers));
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
         change(&mut config);
-        let program = Program::start(&format!("{NODE} {arguments}"), &config);
+        let program = FrontNode::start(&format!("{NODE} {arguments}"), &config);
         let deployment = Deployment { servers, _discovery: discovery, program, config };
-        eventually("it serves", || deployment.program.count(&["msg=\"serving\""]) == 1);
+        eventually("it serves", || deployment.program.count_log_lines(&["msg=\"serving\""]) == 1);
         deployment
     }
 
     fn send(&self, text: &str) -> (u16, Value) {
-        let answer = Client::to(self.program.address).send(text);
+        let answer = Client::connect(self.program.address).send(text);
         (answer.status, answer.json())
     }
 }
@@ -70,15 +70,15 @@
     assert_eq!(two.send(&second_query("manifest", &[1])).0, 500, "its class may not be repeated");
     assert!(begun.elapsed().as_millis() < 900, "its deadline is 0.7 s");
     assert_eq!(one.send(&query("all", &[1], 1500).1).0, 503);
-    let held = two.program.get("/stats").1 + &two.program.lines().join("\n");
+    let held = two.program.get("/stats").1 + &two.program.log_lines().join("\n");
     for word in ["\"any\"", "\"all\"", "\"steps\"", "node=n0"] {
         assert!(!held.contains(word), "{word} shows in the second");
     }
-    let held = one.program.get("/stats").1 + &one.program.lines().join("\n");
+    let held = one.program.get("/stats").1 + &one.program.log_lines().join("\n");
     for word in ["berth", "manifest", "customs", "harbour-7"] {
         assert!(!held.contains(word), "{word} shows in the first");
     }
-    assert!(one.servers.iter().flat_map(Server::received).all(|part| !part.list.contains("k=")));
+    assert!(one.servers.iter().flat_map(Server::received).all(|part| !part.attributes.contains("k=")));
 }
 
 #[test]
@@ -90,14 +90,16 @@
     };
     // Unchanged: it has another name and another address.
     one.program.reload(Some(&two.config.to_string()));
-    eventually("it is rejected", || one.program.count(&["msg=\"configuration rejected\"", "key=name"]) == 1);
+    eventually("it is rejected", || {
+        one.program.count_log_lines(&["msg=\"configuration rejected\"", "key=name"]) == 1
+    });
     assert_unchanged(&one);
     // With this deployment's name: its settings wait for a restart, and none of them is used until then.
     let mut mixed = two.config.clone();
     mixed["name"] = one.config["name"].clone();
     one.program.reload(Some(&mixed.to_string()));
     eventually("it is applied except for its settings", || {
-        one.program.count(&["msg=\"configuration reloaded\"", "needs_restart=settings"]) == 1
+        one.program.count_log_lines(&["msg=\"configuration reloaded\"", "needs_restart=settings"]) == 1
     });
     assert_unchanged(&one);
     // Its discovery is in force now, as stated: parts go to the servers it lists, under this deployment's settings.
@@ -162,7 +164,9 @@
     );
     // A reload is read by the same names.
     deployment.program.reload(Some(&deployment.config.to_string()));
-    eventually("it is applied", || deployment.program.count(&["msg=\"configuration reloaded\""]) == 1);
+    eventually("it is applied", || {
+        deployment.program.count_log_lines(&["msg=\"configuration reloaded\""]) == 1
+    });
 }
 
 #[test]
--- a/crates/node/tests/discovery_faults.rs
+++ b/crates/node/tests/discovery_faults.rs
@@ -4,8 +4,8 @@
 mod stage;
 
 use pinetrestle_standins::{
-    config_json, entries, eventually, list, query, Client, Discovery, DiscoveryBehavior, Program, Server,
-    ServerBehavior,
+    config_json, endpoint_list, entries, eventually, query, Client, Discovery, DiscoveryBehavior, FrontNode,
+    Server, ServerBehavior,
 };
 use serde_json::json;
 use stage::Stage;
@@ -17,10 +17,10 @@
     let stage = Stage::new(&ServerBehavior::Serving);
     eventually("a watch is open", || stage.program.stats()["discovery"]["lists"].as_u64() >= Some(1));
     for telling in [DiscoveryBehavior::Unavailable, DiscoveryBehavior::InvalidLines] {
-        let before = stage.discovery.watches();
+        let before = stage.discovery.watch_count();
         stage.discovery.set_behavior(telling);
-        stage.discovery.drop_watches();
-        eventually("it is opened again", || stage.discovery.watches() > before + 1);
+        stage.discovery.close_watches();
+        eventually("it is opened again", || stage.discovery.watch_count() > before + 1);
         assert_eq!(
             stage.client().send(&query("all", &[0], 2000).1).status,
             200,
@@ -31,7 +31,7 @@
     let lists = stage.program.stats()["discovery"]["lists"].as_u64();
     eventually("it is open again", || stage.program.stats()["discovery"]["lists"].as_u64() > lists);
     for reason in ["ended_by_peer", "status", "bad_list"] {
-        eventually(reason, || stage.program.reasons("discovery").contains(&reason.to_owned()));
+        eventually(reason, || stage.program.close_reasons("discovery").contains(&reason.to_owned()));
     }
 }
 
@@ -40,12 +40,15 @@
     let servers = [Server::start(ServerBehavior::Serving)];
     let discovery = Discovery::start(entries(&servers));
     discovery.set_behavior(DiscoveryBehavior::Silent);
-    let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(1, &entries(&servers)));
+    let mut config =
+        config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
     config["transport"] = json!({"discovery_answer_ms": 150});
-    let program = Program::start_ready(NODE, &config);
+    let program = FrontNode::start_ready(NODE, &config);
     // A second call is made beside the first; when both have timed out, there is a third.
-    eventually("it times out and is opened again", || discovery.watches() >= 3);
-    eventually("the close is logged", || program.reasons("discovery").contains(&"no_answer".to_owned()));
+    eventually("it times out and is opened again", || discovery.watch_count() >= 3);
+    eventually("the close is logged", || {
+        program.close_reasons("discovery").contains(&"no_answer".to_owned())
+    });
 }
 
 #[test]
@@ -53,11 +56,13 @@
     let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
     discovery.set_behavior(DiscoveryBehavior::Unavailable);
-    let program =
-        Program::start(NODE, &config_json("127.0.0.1:0", &discovery.address.to_string(), &list(0, &[])));
+    let program = FrontNode::start(
+        NODE,
+        &config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[])),
+    );
     assert_eq!(program.get("/health/live").0, 200);
     assert_eq!(program.get("/health/ready").0, 503);
     discovery.set_behavior(DiscoveryBehavior::Serving);
     eventually("ready", || program.get("/health/ready").0 == 200);
-    assert_eq!(Client::to(program.address).send(&query("all", &[0, 1, 2], 2000).1).status, 200);
+    assert_eq!(Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).1).status, 200);
 }
--- a/crates/node/tests/discovery_watches.rs
+++ b/crates/node/tests/discovery_watches.rs
@@ -1,7 +1,7 @@
 //! Watches on discovery that fail, in real time: a change of the endpoint list is acted on within 6 s all the same.
 
 use pinetrestle_standins::{
-    config_json, entries, eventually, list, query, Client, Discovery, DiscoveryBehavior, Program,
+    config_json, endpoint_list, entries, eventually, query, Client, Discovery, DiscoveryBehavior, FrontNode,
     ReservedAddress, Server, ServerBehavior, WatchFault,
 };
 use serde_json::json;
@@ -15,17 +15,17 @@
 struct Deployment {
     servers: Vec<Server>,
     discovery: Discovery,
-    program: Program,
+    program: FrontNode,
 }
 
 impl Deployment {
     fn new(mode: &str) -> Deployment {
         let servers: Vec<Server> = (0..6).map(|_| Server::start(ServerBehavior::Serving)).collect();
         let discovery = Discovery::start(entries(&servers));
-        let known = list(1, &entries(&servers));
+        let known = endpoint_list(1, &entries(&servers));
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
         config["settings"]["discovery"] = json!(mode);
-        let program = Program::start_ready(NODE, &config);
+        let program = FrontNode::start_ready(NODE, &config);
         let deployment = Deployment { servers, discovery, program };
         eventually("a watch is established", || deployment.lists() >= 1);
         deployment
@@ -46,7 +46,7 @@
         eventually("the change is taken in", || self.lists() > lists_before);
         let took = changed_at.elapsed();
         let parts_before = self.servers[0].received().len();
-        let mut client = Client::to(self.program.address);
+        let mut client = Client::connect(self.program.address);
         for _ in 0..20 {
             assert_eq!(client.send(&query("all", &[0, 3], 2000).1).status, 200);
         }
@@ -73,7 +73,7 @@
         assert!(took < CHANGE_DEADLINE, "{fault:?}: {took:?}");
         // Log lines are gathered before they are written.
         eventually("the failed watch is logged with its reason", || {
-            deployment.program.reasons("discovery").contains(&close_reason.to_owned())
+            deployment.program.close_reasons("discovery").contains(&close_reason.to_owned())
         });
     });
 }
@@ -101,11 +101,11 @@
 #[test]
 fn a_change_is_acted_on_after_a_silent_watch_and_an_unanswered_call() {
     in_both_list_modes(|deployment| {
-        let watches_before = deployment.discovery.watches();
+        let watches_before = deployment.discovery.watch_count();
         deployment.discovery.set_behavior(DiscoveryBehavior::Silent);
         deployment.discovery.fail_watches(WatchFault::Silent);
         let silent_from = Instant::now();
-        eventually("a new watch is opened", || deployment.discovery.watches() > watches_before);
+        eventually("a new watch is opened", || deployment.discovery.watch_count() > watches_before);
         deployment.discovery.set_behavior(DiscoveryBehavior::Serving);
         deployment.time_to_act_on_a_drain();
         assert!(silent_from.elapsed() < CHANGE_DEADLINE, "{:?}", silent_from.elapsed());
@@ -116,11 +116,11 @@
 fn a_change_is_acted_on_after_failed_calls_by_an_indented_list() {
     in_both_list_modes(|deployment| {
         for telling in [DiscoveryBehavior::Unavailable, DiscoveryBehavior::ClosingWithinHead] {
-            let watches_before = deployment.discovery.watches();
+            let watches_before = deployment.discovery.watch_count();
             deployment.discovery.set_behavior(telling);
-            deployment.discovery.drop_watches();
+            deployment.discovery.close_watches();
             eventually("watches are opened again and again", || {
-                deployment.discovery.watches() >= watches_before + 3
+                deployment.discovery.watch_count() >= watches_before + 3
             });
         }
         deployment.discovery.set_behavior(DiscoveryBehavior::Indented);
@@ -132,22 +132,22 @@
 #[test]
 fn a_new_address_that_is_down_is_watched_once_it_is_up_while_the_old_watch_is_healthy() {
     in_both_list_modes(|deployment| {
-        let reserved = ReservedAddress::start();
-        let text = std::fs::read_to_string(deployment.program.file()).expect("its file");
+        let reserved = ReservedAddress::reserve();
+        let text = std::fs::read_to_string(deployment.program.config_file()).expect("its file");
         let mut file: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         file["discovery"] = json!(reserved.address.to_string());
         deployment.program.reload(Some(&file.to_string()));
         eventually("the new address is tried", || {
-            deployment.program.count(&["side=discovery", "reason=connect_refused"]) >= 2
+            deployment.program.count_log_lines(&["side=discovery", "reason=connect_refused"]) >= 2
         });
         // A change at the old address: the decision core has a current list and does not poll.
         deployment.time_to_act_on_a_drain();
-        let moved = reserved.open_discovery(entries(&deployment.servers));
+        let moved = reserved.start_discovery(entries(&deployment.servers));
         let up_from = Instant::now();
-        eventually("it is watched", || moved.watches() >= 1);
+        eventually("it is watched", || moved.watch_count() >= 1);
         assert!(up_from.elapsed() < CHANGE_DEADLINE, "{:?}", up_from.elapsed());
         eventually("the old watch is closed", || {
-            deployment.program.reasons("discovery").contains(&"asked_anew".into())
+            deployment.program.close_reasons("discovery").contains(&"asked_anew".into())
         });
     });
 }
@@ -158,16 +158,17 @@
         for mode in ["ask", "push"] {
             scope.spawn(move || {
                 let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
-                let reserved = ReservedAddress::start();
-                let mut config = config_json("127.0.0.1:0", &reserved.address.to_string(), &list(0, &[]));
+                let reserved = ReservedAddress::reserve();
+                let mut config =
+                    config_json("127.0.0.1:0", &reserved.address.to_string(), &endpoint_list(0, &[]));
                 config["settings"]["discovery"] = json!(mode);
-                let program = Program::start(NODE, &config);
+                let program = FrontNode::start(NODE, &config);
                 // Down for long enough that the backoff has grown.
                 eventually("it is polled again and again", || {
-                    program.count(&["side=discovery", "reason=connect_refused"]) >= 5
+                    program.count_log_lines(&["side=discovery", "reason=connect_refused"]) >= 5
                 });
                 assert_eq!(program.get("/health/ready").0, 503, "not ready without a list");
-                let _discovery = reserved.open_discovery(entries(&servers));
+                let _discovery = reserved.start_discovery(entries(&servers));
                 let up_from = Instant::now();
                 eventually("ready", || program.get("/health/ready").0 == 200);
                 assert!(up_from.elapsed() < CHANGE_DEADLINE, "{mode}: {:?}", up_from.elapsed());
--- a/crates/node/tests/embed.rs
+++ b/crates/node/tests/embed.rs
@@ -2,7 +2,7 @@
 
 use pinetrestle_node::counters::Counters;
 use pinetrestle_node::{serve, Config};
-use pinetrestle_standins::{config_json, list, ReservedAddress};
+use pinetrestle_standins::{config_json, endpoint_list, ReservedAddress};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,9 +15,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         // Held until the end: nobody else can listen there before the node does, or after it.
-        let reserved = ReservedAddress::start();
+        let reserved = ReservedAddress::reserve();
         let address = reserved.address;
-        let mut file = config_json(&address.to_string(), "127.0.0.1:1", &list(0, &[]));
+        let mut file = config_json(&address.to_string(), "127.0.0.1:1", &endpoint_list(0, &[]));
         file["transport"] = serde_json::json!({"hand_over_ms": 50});
         let config = Config::from_json(&file).expect("a valid configuration");
         let counters = Rc::new(Counters::new(&config.deployment.classes));
--- a/crates/node/tests/flight_recorder.rs
+++ b/crates/node/tests/flight_recorder.rs
@@ -2,7 +2,8 @@
 
 use pinetrestle_recorder::{log_lines, query_key, timeline, Record, Step};
 use pinetrestle_standins::{
-    config_json, entries, entry, eventually, list, query, Client, Discovery, Program, Server, ServerBehavior,
+    config_json, endpoint_list, entries, entry, eventually, query, Client, Discovery, FrontNode, Server,
+    ServerBehavior,
 };
 use std::io::Write;
 use std::process::Command;
@@ -12,7 +13,7 @@
 /// A running front node with a flight recorder, three index servers and discovery.
 struct Fixture {
     servers: Vec<Server>,
-    program: Program,
+    program: FrontNode,
     _discovery: Discovery,
     _file: tempfile::TempPath,
 }
@@ -27,18 +28,18 @@
     fn new(recorder: &str) -> Fixture {
         let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
         let discovery = Discovery::start(entries(&servers));
-        let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(0, &[]));
+        let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[]));
         let file = operator_file(recorder);
-        let program = Program::start_ready(&format!("{NODE} --recorder {}", file.display()), &config);
+        let program = FrontNode::start_ready(&format!("{NODE} --recorder {}", file.display()), &config);
         Fixture { servers, program, _discovery: discovery, _file: file }
     }
 
     fn records(&self) -> Vec<Record> {
-        log_lines::read(self.program.lines().iter().map(String::as_str)).records
+        log_lines::read(self.program.log_lines().iter().map(String::as_str)).records
     }
 
     fn written(&self, at: &str) -> bool {
-        self.program.count(&["flight records written", &format!("at={at}")]) > 0
+        self.program.count_log_lines(&["flight records written", &format!("at={at}")]) > 0
     }
 }
 
@@ -50,7 +51,7 @@
 fn sigusr1_writes_every_step_of_each_query_to_the_log() {
     let fixture = Fixture::new("{ records: 4096 }");
     let (id, text) = query("all", &[0, 1], 2000);
-    assert_eq!(Client::to(fixture.program.address).send(&text).status, 200);
+    assert_eq!(Client::connect(fixture.program.address).send(&text).status, 200);
     fixture.program.signal("-USR1");
     eventually("the records are written", || fixture.written("signal"));
     let records = fixture.records();
@@ -79,7 +80,7 @@
     let fixture = Fixture::new("{ records: 4096 }");
     fixture.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
     let (id, text) = query("all", &[0, 1, 2], 2000);
-    let mut client = Client::to(fixture.program.address);
+    let mut client = Client::connect(fixture.program.address);
     client.write(text.as_bytes());
     eventually("the parts are sent", || fixture.servers.iter().all(|server| server.received().len() == 1));
     drop(client);
@@ -101,7 +102,7 @@
 #[test]
 fn records_are_written_periodically_and_at_exit_where_that_is_set() {
     let mut fixture = Fixture::new("{ records: 64, at_exit: true, follow_ms: 50 }");
-    let mut client = Client::to(fixture.program.address);
+    let mut client = Client::connect(fixture.program.address);
     let ids: Vec<String> = (0..20)
         .map(|_| {
             let (id, text) = query("all", &[0], 2000);
@@ -112,7 +113,7 @@
         })
         .collect();
     fixture.program.terminate();
-    assert_eq!(fixture.program.wait(), Some(0));
+    assert_eq!(fixture.program.wait_for_exit(), Some(0));
     eventually("the records at exit are written", || fixture.written("exit"));
     let records = fixture.records();
     for id in &ids {
@@ -124,17 +125,17 @@
 fn without_a_recorder_sigusr1_has_no_effect() {
     let servers = Server::start(ServerBehavior::Serving);
     let discovery = Discovery::start(vec![entry("s0", &servers.address.to_string(), 0)]);
-    let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(0, &[]));
-    let mut program = Program::start_ready(NODE, &config);
+    let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[]));
+    let mut program = FrontNode::start_ready(NODE, &config);
     program.signal("-USR1");
     assert_eq!(program.get("/health/live").0, 200);
     assert!(program.is_running());
-    assert_eq!(program.count(&["flight"]), 0);
+    assert_eq!(program.count_log_lines(&["flight"]), 0);
 }
 
 #[test]
 fn an_invalid_operator_file_stops_the_program_before_it_listens_and_names_the_fix() {
-    let config = config_json("127.0.0.1:0", "127.0.0.1:1", &list(0, &[]));
+    let config = config_json("127.0.0.1:0", "127.0.0.1:1", &endpoint_list(0, &[]));
     let config_file = operator_file(&config.to_string());
     for (text, expected) in [
         ("{\n  recrods: 10,\n}", ":2: "),
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -1,7 +1,7 @@
 //! The same traffic at a front node of the usual fleet and of the largest: the resources it needs may grow only so far.
 
 use pinetrestle_standins::{
-    config_json, entry, list, query, Client, Discovery, Program, Server, ServerBehavior,
+    config_json, endpoint_list, entry, query, Client, Discovery, FrontNode, Server, ServerBehavior,
 };
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
 
 fn statuses(address: SocketAddr) -> Vec<u16> {
     let begun = Instant::now();
-    let mut client = Client::to(address);
+    let mut client = Client::connect(address);
     let mut statuses = Vec::new();
     while begun.elapsed() < TRAFFIC_TIME {
         statuses.push(client.send(&query("all", &[0, 1, 2], 2000).1).status);
@@ -55,10 +55,10 @@
     };
     let lines: Vec<Value> = (0..servers).map(line).collect();
     let discovery = Discovery::start(lines.clone());
-    let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(1, &lines));
+    let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &lines));
     config["limits"]["sockets"] = json!(SOCKETS);
     config["settings"]["fleet_size"] = json!(300);
-    let program = Program::start_ready(NODE, &config);
+    let program = FrontNode::start_ready(NODE, &config);
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
             let address = program.address;
@@ -72,7 +72,7 @@
     Resources {
         queries: statuses.len(),
         served: statuses.iter().filter(|status| **status == 200).count(),
-        peak_kb: program.peak_kb(),
+        peak_kb: program.peak_memory_kb(),
         opened: count("servers_begun"),
         rejected_calls: count("servers_none_left"),
         open: count("servers_open"),
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -26,11 +26,11 @@
         stage.assert_serves();
     }
     assert!(begun.elapsed() < CLOSE_WITHIN, "dripping does not keep a connection open");
-    assert!(silent.is_ended());
+    assert!(silent.is_closed());
     assert_eq!(half.read().status, 408);
-    assert!(half.is_ended() && begun.elapsed() < CLOSE_WITHIN, "{:?}", begun.elapsed());
+    assert!(half.is_closed() && begun.elapsed() < CLOSE_WITHIN, "{:?}", begun.elapsed());
     for reason in ["never_asked", "request_timeout"] {
-        eventually(reason, || stage.program.reasons("client").contains(&reason.to_owned()));
+        eventually(reason, || stage.program.close_reasons("client").contains(&reason.to_owned()));
     }
 }
 
@@ -59,9 +59,9 @@
         assert!(begun.elapsed() < CLOSE_WITHIN, "{:?}", begun.elapsed());
     }
     eventually("the close is logged", || {
-        stage.program.reasons("client").iter().filter(|reason| *reason == "body_too_long").count() == 2
+        stage.program.close_reasons("client").iter().filter(|reason| *reason == "body_too_long").count() == 2
     });
-    assert!(stage.program.peak_kb() < 32 * 1024, "{} kB", stage.program.peak_kb());
+    assert!(stage.program.peak_memory_kb() < 32 * 1024, "{} kB", stage.program.peak_memory_kb());
     stage.assert_serves();
 }
 
@@ -79,7 +79,7 @@
         client.write(format!("POST /all HTTP/1.1\r\n{fields}\r\n\r\n0\r\n\r\n{hidden}").as_bytes());
         let answer = client.read();
         assert!((400..600).contains(&answer.status), "{answer:?}");
-        assert!(client.is_ended());
+        assert!(client.is_closed());
     }
     assert_eq!(stage.parts_received(), 0);
     stage.assert_serves();
@@ -105,10 +105,10 @@
         let answer = client.send(&good.replacen(from, to, 1));
         assert!((400..500).contains(&answer.status), "{to}: {answer:?}");
     }
-    assert!(client.is_ended(), "such a client has to reconnect");
+    assert!(client.is_closed(), "such a client has to reconnect");
     assert_eq!(stage.parts_received(), 0);
     eventually("the close is logged", || {
-        stage.program.reasons("client").contains(&"too_many_bad".to_owned())
+        stage.program.close_reasons("client").contains(&"too_many_bad".to_owned())
     });
 }
 
@@ -192,7 +192,7 @@
         let answer = client.send(&query("all", &[0], 3000).1);
         assert_eq!(answer.status, 200, "another replica answers: {answer:?}");
         assert!(begun.elapsed() < Duration::from_millis(1500), "{:?}", begun.elapsed());
-        stage.program.reasons("index_server").contains(&"stalled_within_frame".to_owned())
+        stage.program.close_reasons("index_server").contains(&"stalled_within_frame".to_owned())
     });
     assert!(stage.program.stats()["attempts"]["reset"].as_u64() >= Some(1), "it may have run");
 }
@@ -233,7 +233,7 @@
     stage
         .servers
         .iter()
-        .for_each(|server| server.set_behavior(ServerBehavior::SilentOnFirst(server.connections())));
+        .for_each(|server| server.set_behavior(ServerBehavior::SilentOnFirst(server.accepted_connections())));
     let mut client = stage.client();
     let mut in_a_row = 0;
     eventually("ten queries in a row are served", || {
@@ -242,7 +242,7 @@
         in_a_row == 10
     });
     eventually("the replaced connections are logged", || {
-        stage.program.reasons("index_server").contains(&"unheard".to_owned())
+        stage.program.close_reasons("index_server").contains(&"unheard".to_owned())
     });
 }
 
--- a/crates/node/tests/multiple_nodes.rs
+++ b/crates/node/tests/multiple_nodes.rs
@@ -2,8 +2,8 @@
 //! floods of idle or greedy clients.
 
 use pinetrestle_standins::{
-    config_json, entries, entries_at, eventually, list, query, Client, Discovery, DiscoveryBehavior, Program,
-    ReservedAddress, Server, ServerBehavior, TimestampingServer, WorkProfile,
+    config_json, endpoint_list, entries, entries_at, eventually, query, Client, Discovery, DiscoveryBehavior,
+    FrontNode, ReservedAddress, Server, ServerBehavior, TimestampingServer, WorkProfile,
 };
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
@@ -20,7 +20,7 @@
 /// Sends one query after the other until `stop`; each must be answered or rejected.
 fn generate_load(address: SocketAddr, pause: Duration, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
-        let status = Client::to(address).send(&query("all", &[0], 2000).1).status;
+        let status = Client::connect(address).send(&query("all", &[0], 2000).1).status;
         assert!(status == 200 || status == 503, "{status}");
         thread::sleep(pause);
     }
@@ -48,7 +48,7 @@
     };
     let discovery = Discovery::start(listed(None));
     let config = |node: usize| {
-        let known = list(1, &listed(None)[..2]);
+        let known = endpoint_list(1, &listed(None)[..2]);
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
         config["name"] = json!(format!("n{node}"));
         config["seed"] = json!(format!("{:016x}", 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(node as u64 + 1)));
@@ -57,8 +57,8 @@
         config["settings"]["rules"]["warm_within"] = json!(6_000_000);
         config
     };
-    let mut programs: Vec<Program> =
-        (0..NODES).map(|node| Program::start_ready(NODE, &config(node))).collect();
+    let mut programs: Vec<FrontNode> =
+        (0..NODES).map(|node| FrontNode::start_ready(NODE, &config(node))).collect();
     let stops: Vec<AtomicBool> = (0..NODES).map(|_| AtomicBool::new(false)).collect();
     let started = thread::scope(|scope| {
         for (node, program) in programs.iter().enumerate() {
@@ -77,9 +77,9 @@
         // Two nodes are killed and restarted without state.
         stops[6..].iter().for_each(|stop| stop.store(true, Ordering::Relaxed));
         thread::sleep(ms(200));
-        programs[6..].iter_mut().for_each(Program::kill);
-        let restarted: Vec<Program> =
-            (6..NODES).map(|node| Program::start_ready(NODE, &config(node))).collect();
+        programs[6..].iter_mut().for_each(FrontNode::kill);
+        let restarted: Vec<FrontNode> =
+            (6..NODES).map(|node| FrontNode::start_ready(NODE, &config(node))).collect();
         let stop_restarted = AtomicBool::new(false);
         thread::scope(|scope| {
             for program in &restarted {
@@ -92,7 +92,8 @@
         started
     });
     let parts = servers[2].received().into_iter().filter(|seen| !seen.parts.is_empty());
-    let moments: Vec<u64> = parts.map(|seen| seen.at.duration_since(started).as_millis() as u64).collect();
+    let moments: Vec<u64> =
+        parts.map(|seen| seen.read_at.duration_since(started).as_millis() as u64).collect();
     for (place, from) in moments.iter().enumerate() {
         let within = moments[place..].iter().take_while(|at| **at < from + 1000).count() as f64;
         let capacity_share = (0.3 + 0.7 * *from as f64 / 6000.0).min(1.0);
@@ -112,17 +113,18 @@
         // Discovery answers one call after the other, 100 ms each: of thirty callers at once most wait, and some time out.
         discovery.set_behavior(DiscoveryBehavior::OneAtATime(ms(100)));
         let started = Instant::now();
-        let programs: Vec<Program> = (0..30)
+        let programs: Vec<FrontNode> = (0..30)
             .map(|node| {
-                let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(0, &[]));
+                let mut config =
+                    config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[]));
                 config["settings"]["discovery"] = json!(mode);
                 config["settings"]["fleet_size"] = json!(30);
                 config["seed"] = json!(format!("{:016x}", 77 * (node + 1)));
-                Program::start(NODE, &config)
+                FrontNode::start(NODE, &config)
             })
             .collect();
         assert_eq!(programs[29].get("/health/ready").0, 503, "never without a server in service");
-        let ready = |program: &Program| program.get("/health/ready").0 == 200;
+        let ready = |program: &FrontNode| program.get("/health/ready").0 == 200;
         eventually("nine in ten are ready", || {
             programs.iter().filter(|program| ready(program)).count() >= 27
         });
@@ -136,8 +138,8 @@
     let mut draining = entries(&servers);
     draining.iter_mut().for_each(|entry| entry["status"] = json!("draining"));
     let discovery = Discovery::start(draining.clone());
-    let known = list(1, &draining);
-    let program = Program::start(NODE, &config_json("127.0.0.1:0", &discovery.address.to_string(), &known));
+    let known = endpoint_list(1, &draining);
+    let program = FrontNode::start(NODE, &config_json("127.0.0.1:0", &discovery.address.to_string(), &known));
     eventually("a watch is open", || program.stats()["discovery"]["lists"].as_u64() >= Some(1));
     assert_eq!(program.get("/health/ready").0, 503);
     discovery.set_entries(entries(&servers));
@@ -147,20 +149,20 @@
 #[test]
 fn idle_clients_cannot_take_the_descriptors_of_discovery_and_index_server_connections() {
     let servers: Vec<Server> = (0..6).map(|_| Server::start(ServerBehavior::Serving)).collect();
-    let reserved = ReservedAddress::start();
+    let reserved = ReservedAddress::reserve();
     // Discovery is down; the list known from before has one server of a cell, the others are not there yet.
-    let known = list(1, &entries(&servers)[..3]);
+    let known = endpoint_list(1, &entries(&servers)[..3]);
     let mut config = config_json("127.0.0.1:0", &reserved.address.to_string(), &known);
     config["limits"]["sockets"] = json!(96);
     // The system's limit is the same: one descriptor too many fails.
-    let program = Program::start_under("ulimit -n 96", NODE, &config);
+    let program = FrontNode::start_with_shell_setup("ulimit -n 96", NODE, &config);
     eventually("ready", || program.get("/health/ready").0 == 200);
     let mut idle: Vec<TcpStream> = Vec::new();
     let mut served: Vec<Client> = Vec::new();
     for round in 0..300 {
         idle.push(TcpStream::connect(program.address).expect("a connection"));
         if round % 3 == 0 {
-            let mut client = Client::to(program.address);
+            let mut client = Client::connect(program.address);
             // It sends one query and then stays idle; under this flood it may be evicted before it is read.
             client.try_write(query("all", &[round % 3], 2000).1.as_bytes());
             if client.try_read().is_some() {
@@ -169,17 +171,17 @@
         }
     }
     assert!(served.len() > 50, "{} of 100 were served in the flood", served.len());
-    let open = std::fs::read_dir(format!("/proc/{}/fd", program.id())).expect("it runs").count();
+    let open = std::fs::read_dir(format!("/proc/{}/fd", program.pid())).expect("it runs").count();
     assert!(open <= 96, "{open} descriptors");
-    let discovery = reserved.open_discovery(entries(&servers));
+    let discovery = reserved.start_discovery(entries(&servers));
     let restarted = Instant::now();
-    eventually("discovery is reached", || discovery.watches() >= 1);
+    eventually("discovery is reached", || discovery.watch_count() >= 1);
     assert!(restarted.elapsed() < Duration::from_secs(6), "{:?}", restarted.elapsed());
     eventually("its list is used", || {
-        let answer = Client::to(program.address).send(&query("all", &[0, 1, 2], 2000).1);
+        let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).1);
         answer.status == 200 && servers[3..].iter().all(|server| !server.received().is_empty())
     });
-    assert_eq!(program.count(&["accepting failed"]), 0, "the system's limit was never reached");
+    assert_eq!(program.count_log_lines(&["accepting failed"]), 0, "the system's limit was never reached");
     drop(idle);
 }
 
@@ -210,10 +212,10 @@
 fn serve_during_floods() -> [Service; 2] {
     let servers: Vec<Server> = (0..6).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
-    let known = list(1, &entries(&servers));
+    let known = endpoint_list(1, &entries(&servers));
     let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
     config["limits"]["sockets"] = json!(192);
-    let program = Program::start_ready(NODE, &config);
+    let program = FrontNode::start_ready(NODE, &config);
     let stop = AtomicBool::new(false);
     let address = program.address;
     thread::scope(|scope| {
@@ -239,7 +241,7 @@
 fn flood_with_abandoned_queries(address: SocketAddr, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
         let text = query("all", &[0], 2000).1;
-        let _ = Client::to(address).try_write(text.repeat(40).as_bytes());
+        let _ = Client::connect(address).try_write(text.repeat(40).as_bytes());
         thread::sleep(ms(20));
     }
 }
@@ -248,7 +250,7 @@
 fn flood_without_reading(address: SocketAddr, stop: &AtomicBool) {
     let mut open = Vec::new();
     while !stop.load(Ordering::Relaxed) && open.len() < 20 {
-        let mut client = Client::to(address);
+        let mut client = Client::connect(address);
         // Nothing more is sent once the front node has stopped reading.
         client.stream.get_ref().set_write_timeout(Some(ms(50))).expect("set");
         client.try_write("GET /stats HTTP/1.1\r\nHost: x\r\n\r\n".repeat(5000).as_bytes());
@@ -262,7 +264,7 @@
 /// A client that keeps its connection, connects again when it was evicted, and sends queries for three seconds.
 fn ordinary_client(address: SocketAddr, class: &str) -> Service {
     let mut service = Service::default();
-    let mut client = Client::to(address);
+    let mut client = Client::connect(address);
     let end = Instant::now() + ms(3000);
     while Instant::now() < end {
         service.queries += 1;
@@ -274,7 +276,7 @@
                     service.served += u32::from(answer.status == 200);
                     break;
                 }
-                None => client = Client::to(address),
+                None => client = Client::connect(address),
             }
         }
         thread::sleep(ms(10));
@@ -290,14 +292,14 @@
     let servers: Vec<TimestampingServer> = (0..3).map(|_| TimestampingServer::start(work.clone())).collect();
     let entries = entries_at(servers.iter().map(|server| server.address));
     let discovery = Discovery::start(entries.clone());
-    let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(1, &entries));
+    let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries));
     config["settings"]["projects"] = json!([
         {"name": "north", "quota_per_s": 20.0, "share": 0.5}, {"name": "south", "quota_per_s": 20.0, "share": 0.5}]);
     config["settings"]["permissions"]["most_held"] = json!(400);
     for class in 0..3 {
         config["settings"]["classes"][class]["aim"] = json!(250_000);
     }
-    let program = Program::start_ready(NODE, &config);
+    let program = FrontNode::start_ready(NODE, &config);
     let address = program.address;
     let stop = AtomicBool::new(false);
     let is_served = |client: &mut Client, class: &str, tenant: &str| {
@@ -310,7 +312,7 @@
             let stop = &stop;
             let is_served = &is_served;
             scope.spawn(move || {
-                let mut client = Client::to(address);
+                let mut client = Client::connect(address);
                 while !stop.load(Ordering::Relaxed) {
                     is_served(&mut client, ["any", "all"][n % 2], "north");
                 }
@@ -318,7 +320,7 @@
         }
         thread::sleep(ms(2000)); // the flood is under way before anything counts
         let mut thirds = [[Service::default(); 2]; 3];
-        let mut client = Client::to(address);
+        let mut client = Client::connect(address);
         for third in &mut thirds {
             let end = Instant::now() + ms(1500);
             while Instant::now() < end {
--- a/crates/node/tests/query_serving.rs
+++ b/crates/node/tests/query_serving.rs
@@ -33,7 +33,7 @@
         for part in server.received() {
             assert_eq!(part.shard as usize % 3, n % 3, "each part goes to a replica of its shard");
             assert_eq!(part.text, "c41e77d0", "forwarded unchanged");
-            assert!(part.list.starts_with("d="), "{}", part.list);
+            assert!(part.attributes.starts_with("d="), "{}", part.attributes);
         }
     }
     // The connection is kept alive; it also takes chunked bodies and single bytes.
@@ -90,7 +90,7 @@
         stage.servers.iter().flat_map(Server::received).filter(|part| part.id.ends_with(".phase2")).collect();
     assert_eq!(second.len(), 2);
     for part in second {
-        assert!(part.list.ends_with(",from=0+1+2+3,whole=1"), "{}", part.list);
+        assert!(part.attributes.ends_with(",from=0+1+2+3,whole=1"), "{}", part.attributes);
     }
 }
 
@@ -100,7 +100,7 @@
         let stage = Stage::new(&doing);
         let answer = stage.client().send(&query("all", &[0], 1500).1);
         assert_eq!(answer.status, 503, "{answer:?}");
-        let wait: f64 = answer.fields["retry-after"].parse().expect("seconds");
+        let wait: f64 = answer.headers["retry-after"].parse().expect("seconds");
         assert!(wait > 0.0 && wait <= 0.5, "{wait}");
         let stats = stage.balanced_stats();
         assert!(stats["attempts"][outcome].as_u64() >= Some(1), "{stats}");
@@ -122,7 +122,9 @@
     });
     let stats = stage.balanced_stats();
     assert_eq!(stats["queries"]["all"]["gone"], 1);
-    eventually("the close is logged", || stage.program.reasons("client").contains(&"client_gone".to_owned()));
+    eventually("the close is logged", || {
+        stage.program.close_reasons("client").contains(&"client_gone".to_owned())
+    });
 }
 
 #[test]
@@ -194,7 +196,7 @@
     ] {
         let mut client = stage.client();
         assert_eq!(client.send(&text).status, status);
-        assert!(client.is_ended(), "framing is lost");
+        assert!(client.is_closed(), "framing is lost");
     }
     assert_eq!(stage.parts_received(), 1, "only the well-formed query sent its part");
     let stats = stage.balanced_stats();
@@ -221,7 +223,7 @@
     let shards: Vec<u32> = (0..9).collect();
     let answer = client.send(&query("all", &shards, 1500).1);
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("over_held")));
-    assert_eq!(answer.fields["retry-after"], "0.500");
+    assert_eq!(answer.headers["retry-after"], "0.500");
     assert_eq!(
         client.send(&query("all", &shards[..7], 1500).1).status,
         200,
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -1,8 +1,8 @@
 //! Configuration reload while the program serves: SIGHUP with valid, invalid and missing files.
 
 use pinetrestle_standins::{
-    config_json, entries, entry, eventually, list, query, Discovery, Program, ReservedAddress, Server,
-    ServerBehavior,
+    config_json, endpoint_list, entries, entry, eventually, query, Discovery, FrontNode, ReservedAddress,
+    Server, ServerBehavior,
 };
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -13,16 +13,16 @@
     servers: Vec<Server>,
     discovery: Discovery,
     config: Value,
-    program: Program,
+    program: FrontNode,
 }
 
 impl Deployment {
     fn new() -> Deployment {
         let servers: Vec<Server> = (0..6).map(|_| Server::start(ServerBehavior::Serving)).collect();
         let discovery = Discovery::start(entries(&servers));
-        let known = list(1, &entries(&servers));
+        let known = endpoint_list(1, &entries(&servers));
         let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
-        let program = Program::start_ready(NODE, &config);
+        let program = FrontNode::start_ready(NODE, &config);
         let deployment = Deployment { servers, discovery, config, program };
         eventually("a watch is established", || {
             deployment.program.stats()["discovery"]["lists"].as_u64() >= Some(1)
@@ -38,8 +38,8 @@
     }
 
     fn assert_serves(&self) {
-        let answer =
-            pinetrestle_standins::Client::to(self.program.address).send(&query("all", &[0, 1, 2], 2000).1);
+        let answer = pinetrestle_standins::Client::connect(self.program.address)
+            .send(&query("all", &[0, 1, 2], 2000).1);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
 
@@ -64,10 +64,10 @@
     deployment
         .program
         .reload(Some(&deployment.config_with(|file| file["discovery"] = json!(other.address.to_string()))));
-    eventually("it is watched", || other.watches() == 1);
+    eventually("it is watched", || other.watch_count() == 1);
     eventually("the old watch is closed", || {
         let peer = format!("peer={}", deployment.discovery.address);
-        deployment.program.count(&["side=discovery", &peer, "reason=asked_anew"]) == 1
+        deployment.program.count_log_lines(&["side=discovery", &peer, "reason=asked_anew"]) == 1
     });
     eventually("its list is in force", || {
         deployment.assert_serves();
@@ -89,14 +89,17 @@
 #[test]
 fn the_old_watch_stays_in_use_while_the_new_discovery_is_down() {
     let deployment = Deployment::new();
-    let reserved = ReservedAddress::start();
+    let reserved = ReservedAddress::reserve();
     let address = reserved.address;
     deployment
         .program
         .reload(Some(&deployment.config_with(|file| file["discovery"] = json!(address.to_string()))));
     eventually("it is called and refuses", || {
-        deployment.program.count(&["side=discovery", &format!("peer={address}"), "reason=connect_refused"])
-            > 0
+        deployment.program.count_log_lines(&[
+            "side=discovery",
+            &format!("peer={address}"),
+            "reason=connect_refused",
+        ]) > 0
     });
     // A change at the old address still takes effect.
     let lists = deployment.counter("discovery", "lists");
@@ -110,8 +113,8 @@
         deployment.assert_serves();
         !fresh.received().is_empty()
     });
-    let other = reserved.open_discovery(lines);
-    eventually("the new one is watched once it is up", || other.watches() > 0);
+    let other = reserved.start_discovery(lines);
+    eventually("the new one is watched once it is up", || other.watch_count() > 0);
     deployment.assert_serves();
 }
 
@@ -148,32 +151,32 @@
         deployment.program.reload(text.as_deref());
         eventually("it is refused", || deployment.counter("own", "reloads_refused") == index as u64 + 1);
         eventually("the log names the key", || {
-            deployment.program.count(&["configuration rejected", key]) > 0
+            deployment.program.count_log_lines(&["configuration rejected", key]) > 0
         });
         deployment.assert_serves();
     }
-    assert_eq!((other.watches(), deployment.counter("own", "reloads")), (0, 0));
-    assert_eq!(deployment.discovery.watches(), 1, "the old watch is open");
+    assert_eq!((other.watch_count(), deployment.counter("own", "reloads")), (0, 0));
+    assert_eq!(deployment.discovery.watch_count(), 1, "the old watch is open");
     // A valid file is taken after all of them.
     deployment.program.reload(Some(&deployment.config_with(|file| file["discovery"] = elsewhere.clone())));
-    eventually("it is watched", || other.watches() == 1);
+    eventually("it is watched", || other.watch_count() == 1);
 }
 
 #[test]
 fn keys_that_need_a_restart_are_logged_and_the_rest_takes_effect() {
     let deployment = Deployment::new();
-    let mut idle_client = pinetrestle_standins::Client::to(deployment.program.address);
+    let mut idle_client = pinetrestle_standins::Client::connect(deployment.program.address);
     assert_eq!(idle_client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
     deployment.program.reload(Some(&deployment.config_with(|file| {
         file["transport"] = json!({"client_idle_ms": 50});
         file["settings"]["permissions"]["try_limit"] = json!(1);
     })));
     eventually("it is taken, the settings wait", || {
-        deployment.program.count(&["configuration reloaded", "needs_restart=settings"]) == 1
+        deployment.program.count_log_lines(&["configuration reloaded", "needs_restart=settings"]) == 1
     });
     assert_eq!(idle_client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
     let begun = Instant::now();
-    assert!(idle_client.is_ended(), "the new idle timeout applies to open connections");
+    assert!(idle_client.is_closed(), "the new idle timeout applies to open connections");
     assert!(begun.elapsed() < Duration::from_secs(5));
     deployment.assert_serves();
 }
@@ -188,5 +191,5 @@
     eventually("taken", || deployment.counter("own", "reloads") >= 1);
     deployment.program.terminate();
     deployment.program.reload(Some(&text));
-    assert_eq!(deployment.program.wait(), Some(0), "a graceful shutdown by SIGTERM");
+    assert_eq!(deployment.program.wait_for_exit(), Some(0), "a graceful shutdown by SIGTERM");
 }
--- a/crates/node/tests/retry_safety.rs
+++ b/crates/node/tests/retry_safety.rs
@@ -2,7 +2,7 @@
 //! whether the part is retried and which status its client gets.
 
 use pinetrestle_standins::{
-    config_json, entries_at, eventually, list, query, Client, Discovery, PendingAddress, Program,
+    config_json, endpoint_list, entries_at, eventually, query, Client, Discovery, FrontNode, PendingAddress,
     ReceivedPart, ReservedAddress, Server, ServerBehavior,
 };
 use serde_json::{json, Value};
@@ -21,19 +21,19 @@
 /// A running front node with its discovery.
 struct Fixture {
     discovery: Discovery,
-    program: Program,
+    program: FrontNode,
 }
 
 impl Fixture {
     /// The class "all" has this effect; shard 0 has replicas at these addresses.
     fn new(effect: &str, holders: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Fixture {
-        let known = list(1, &Fixture::entries(holders));
+        let known = endpoint_list(1, &Fixture::entries(holders));
         let discovery = Discovery::start(Fixture::entries(holders));
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
         config["settings"]["classes"][1]["effect"] = json!(effect);
         config["settings"]["classes"][1]["dedup_window"] = json!(WINDOW.as_micros() as u64);
         change(&mut config);
-        let program = Program::start_ready(NODE, &config);
+        let program = FrontNode::start_ready(NODE, &config);
         let fixture = Fixture { discovery, program };
         eventually("a watch is open", || fixture.full_lists() >= 1);
         fixture
@@ -52,7 +52,7 @@
 
     /// Sends a query of the class "all" for shard 0 with an idempotency key, on a connection of its own.
     fn send_query(&self) -> Client {
-        let mut client = Client::to(self.program.address);
+        let mut client = Client::connect(self.program.address);
         client.write(with_key("0af3", &query("all", &[0], 2900).1).as_bytes());
         client
     }
@@ -95,7 +95,7 @@
         ServerBehavior::ClosingAfterBytes(2),
         ServerBehavior::ClosingAfterBytes(9),
         ServerBehavior::ClosingWithinAnswer,
-        ServerBehavior::SendingNoFrame,
+        ServerBehavior::SendingInvalidFrame,
         ServerBehavior::Trickling,
         ServerBehavior::StallingWithinAnswer,
         ServerBehavior::Silent,
@@ -122,8 +122,8 @@
         assert_eq!(outcome(effect, &ServerBehavior::Rejecting), retried, "{effect}: rejected");
         // Connection refused, or never established: whichever replica comes first, the other one serves the part.
         for never_established in [true, false] {
-            let late = PendingAddress::start();
-            let refusing = ReservedAddress::start();
+            let late = PendingAddress::reserve();
+            let refusing = ReservedAddress::reserve();
             let serving = Server::start(ServerBehavior::Serving);
             let bad = if never_established { late.address } else { refusing.address };
             let fixture = Fixture::new(effect, &[bad, serving.address], |_| {});
@@ -145,14 +145,14 @@
     let fixture = Fixture::new("dedup", &[servers[0].address, servers[1].address], |config| {
         config["settings"]["classes"][2]["effect"] = json!("dedup");
     });
-    let mut client = Client::to(fixture.program.address);
+    let mut client = Client::connect(fixture.program.address);
     assert_eq!(client.send(&with_key("a2b9acad9eb94871", &query("steps", &[0, 3, 6], 2000).1)).status, 200);
     let seen: Vec<_> = servers.iter().flat_map(Server::received).collect();
     assert_eq!(seen.len(), 5, "three parts of the first step, two of the second");
     for part in &seen {
-        let options: Vec<&str> = part.list.split(',').collect();
-        assert!(options[0].starts_with("d=") && options[1] == "k=a2b9acad9eb94871", "{}", part.list);
-        assert_eq!(options.len() > 2, part.id.ends_with(".phase2"), "{}", part.list);
+        let options: Vec<&str> = part.attributes.split(',').collect();
+        assert!(options[0].starts_with("d=") && options[1] == "k=a2b9acad9eb94871", "{}", part.attributes);
+        assert_eq!(options.len() > 2, part.id.ends_with(".phase2"), "{}", part.attributes);
     }
     // An idempotent class needs no key.
     assert_eq!(client.send(&query("any", &[0], 2000).1).status, 200);
@@ -210,13 +210,13 @@
         });
         let answer = fixture.send_query().read();
         assert_eq!(answer.status, status, "{effect}, {doing:?}");
-        assert_eq!(answer.fields.contains_key("retry-after"), status == 503);
+        assert_eq!(answer.headers.contains_key("retry-after"), status == 503);
     }
 }
 
 #[test]
 fn a_retry_whose_idempotency_window_passes_while_it_waits_for_a_connection_is_never_sent() {
-    let late = PendingAddress::start();
+    let late = PendingAddress::reserve();
     let first = Server::start(ServerBehavior::ResettingAfter(ms(50)));
     let fixture = Fixture::new("dedup", &[first.address, late.address], |config| {
         config["transport"] = json!({"connect_ms": 4000});
@@ -232,8 +232,8 @@
     });
     let retried: Vec<String> = first.received().into_iter().map(|part| part.id).collect();
     thread::sleep(WINDOW);
-    let other = late.open(ServerBehavior::Serving);
-    eventually("the connection is established", || other.connections() >= 2);
+    let other = late.start_server(ServerBehavior::Serving);
+    eventually("the connection is established", || other.accepted_connections() >= 2);
     thread::sleep(ms(200));
     for part in other.received() {
         assert!(!retried.contains(&part.id), "a retry after its window: {part:?}");
@@ -248,7 +248,7 @@
 
 #[test]
 fn a_part_that_waited_for_its_connection_states_the_time_that_is_left() {
-    let late = PendingAddress::start();
+    let late = PendingAddress::reserve();
     let fixture = Fixture::new("retryable", &[late.address], |config| {
         config["transport"] = json!({"connect_ms": 4000});
         config["settings"]["classes"][1]["aim"] = 2_900_000.into();
@@ -258,7 +258,7 @@
     eventually("its part is queued", || fixture.program.stats()["attempts"]["out"].as_u64() >= Some(1));
     thread::sleep(ms(300));
     let waited = began.elapsed();
-    let server = late.open(ServerBehavior::Serving);
+    let server = late.start_server(ServerBehavior::Serving);
     assert_eq!(client.read().status, 200);
     let seen = server.received();
     let stated = seen[0].time_left();
@@ -274,7 +274,7 @@
     let fixture = Fixture::new("retryable", &[server.address], |config| {
         config["settings"]["classes"][1]["aim"] = 2_900_000.into();
     });
-    let mut client = Client::to(fixture.program.address);
+    let mut client = Client::connect(fixture.program.address);
     let texts: Vec<String> = (0..4).map(|_| query("all", &[0], EXPIRES_MS).1).collect();
     client.write(texts.concat().as_bytes());
     let statuses: Vec<u16> = (0..4).map(|_| client.read().status).collect();
@@ -295,7 +295,7 @@
 
 #[test]
 fn parts_queued_for_a_server_that_begins_to_drain_go_to_another() {
-    let late = PendingAddress::start();
+    let late = PendingAddress::reserve();
     let serving = Server::start(ServerBehavior::Serving);
     let holders = [late.address, serving.address];
     let fixture = Fixture::new("retryable", &holders, |config| {
@@ -319,8 +319,8 @@
         assert_eq!(client.read().status, 200, "served elsewhere");
     }
     assert!(received.elapsed() < ms(700), "at once, before any hedged request: {:?}", received.elapsed());
-    let late = late.open(ServerBehavior::Serving);
-    eventually("the connection is established", || late.connections() >= 2);
+    let late = late.start_server(ServerBehavior::Serving);
+    eventually("the connection is established", || late.accepted_connections() >= 2);
     thread::sleep(ms(100));
     assert_eq!(late.received(), [], "nothing new to a server that is draining");
 }
@@ -332,7 +332,7 @@
     let fixture = Fixture::new("retryable", &holders, |config| {
         config["settings"]["permissions"]["most_held"] = 1000.into();
     });
-    let mut clients: Vec<Client> = (0..40).map(|_| Client::to(fixture.program.address)).collect();
+    let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(fixture.program.address)).collect();
     for client in &mut clients {
         assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
     }
--- a/crates/node/tests/second_step.rs
+++ b/crates/node/tests/second_step.rs
@@ -2,7 +2,8 @@
 //! errors if they arrived at the same moment.
 
 use pinetrestle_standins::{
-    config_json, entries_at, list, query, Client, Discovery, Program, TimestampingServer, WorkProfile,
+    config_json, endpoint_list, entries_at, query, Client, Discovery, FrontNode, TimestampingServer,
+    WorkProfile,
 };
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -15,9 +16,9 @@
         (0..6).map(|_| TimestampingServer::start(WorkProfile::default())).collect();
     let entries = entries_at(servers.iter().map(|server| server.address));
     let discovery = Discovery::start(entries.clone());
-    let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(1, &entries));
-    let program = Program::start_ready(NODE, &config);
-    let mut client = Client::to(program.address);
+    let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries));
+    let program = FrontNode::start_ready(NODE, &config);
+    let mut client = Client::connect(program.address);
     for _ in 0..40 {
         assert_eq!(client.send(&query("steps", &[0, 1, 2], 2000).1).status, 200);
     }
@@ -26,7 +27,7 @@
     for seen in servers.iter().flat_map(TimestampingServer::received) {
         for part in seen.parts.iter().filter(|part| part.id.ends_with(".phase2")) {
             let query = part.id.split('.').next().unwrap_or_default().to_owned();
-            read_at.entry(query).or_default().push(seen.at);
+            read_at.entry(query).or_default().push(seen.read_at);
         }
     }
     assert_eq!(read_at.len(), 40);
--- a/crates/node/tests/server_connections.rs
+++ b/crates/node/tests/server_connections.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_refused_connection_never_ran_a_part_and_a_closed_one_may_have() {
-    let refusing = ReservedAddress::start();
+    let refusing = ReservedAddress::reserve();
     let stage = Stage::new(&ServerBehavior::Serving);
     let mut lines = entries(&stage.servers);
     lines[0]["address"] = json!(refusing.address.to_string());
@@ -21,7 +21,7 @@
     assert!(stats["attempts"]["connect_failed"].as_u64() >= Some(1));
     assert_eq!(stats["attempts"]["reset"], 0);
     eventually("the refused connection is logged", || {
-        stage.program.reasons("index_server").contains(&"connect_refused".to_owned())
+        stage.program.close_reasons("index_server").contains(&"connect_refused".to_owned())
     });
 
     stage.servers[1].set_behavior(ServerBehavior::ClosingAfterFrame);
@@ -30,14 +30,14 @@
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(stage.balanced_stats()["attempts"]["reset"].as_u64() >= Some(1));
     eventually("the close is logged", || {
-        stage.program.reasons("index_server").contains(&"ended_by_peer".to_owned())
+        stage.program.close_reasons("index_server").contains(&"ended_by_peer".to_owned())
     });
 }
 
 #[test]
 fn a_bad_frame_closes_only_its_connection() {
     for (doing, reason) in [
-        (ServerBehavior::SendingNoFrame, "bad_frame_length"),
+        (ServerBehavior::SendingInvalidFrame, "bad_frame_length"),
         (ServerBehavior::AnsweringUnknownPart, "unknown_part"),
         (ServerBehavior::ClosingWithinAnswer, "ended_within_frame"),
     ] {
@@ -48,7 +48,7 @@
         let answer = client.send(&query("all", &[0], 600).1);
         assert_eq!(answer.status, 503, "{answer:?}");
         eventually("the close is logged", || {
-            stage.program.reasons("index_server").contains(&reason.to_owned())
+            stage.program.close_reasons("index_server").contains(&reason.to_owned())
         });
         assert!(stage.balanced_stats()["attempts"]["reset"].as_u64() >= Some(1));
         assert_eq!(client.send(&query("all", &[1, 2], 2000).1).status, 200, "other servers still serve");
@@ -96,7 +96,7 @@
     assert_eq!(stats["connections"]["servers_begun"], 6);
     assert_eq!(stats["connections"]["servers_open"], 1);
     let evicted =
-        || stage.program.reasons("index_server").iter().filter(|reason| *reason == "made_room").count();
+        || stage.program.close_reasons("index_server").iter().filter(|reason| *reason == "made_room").count();
     eventually("five were evicted", || evicted() == 5);
 }
 
@@ -118,7 +118,7 @@
     assert_eq!(stage.servers[0].received().len() + stage.servers[3].received().len(), before);
     assert!(fresh.iter().map(|server| server.received().len()).sum::<usize>() >= 8);
     eventually("old connections are closed", || {
-        stage.program.reasons("index_server").contains(&"replaced".to_owned())
+        stage.program.close_reasons("index_server").contains(&"replaced".to_owned())
     });
 }
 
@@ -144,9 +144,9 @@
     let mut client = stage.client();
     assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).1).status, 200);
     eventually("they are closed as idle", || {
-        stage.program.reasons("index_server").iter().filter(|reason| *reason == "idle").count() >= 3
+        stage.program.close_reasons("index_server").iter().filter(|reason| *reason == "idle").count() >= 3
     });
     assert_eq!(stage.program.stats()["connections"]["servers_open"], 0);
     assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).1).status, 200);
-    assert!(stage.servers.iter().map(Server::connections).sum::<u64>() >= 6, "new ones are opened");
+    assert!(stage.servers.iter().map(Server::accepted_connections).sum::<u64>() >= 6, "new ones are opened");
 }
--- a/crates/node/tests/server_stalls.rs
+++ b/crates/node/tests/server_stalls.rs
@@ -2,8 +2,8 @@
 //! places and cancels that stop no work would have it read long after.
 
 use pinetrestle_standins::{
-    config_json, entries_at, eventually, list, query, Client, Discovery, Program, TimestampingServer,
-    WorkProfile,
+    config_json, endpoint_list, entries_at, eventually, query, Client, Discovery, FrontNode,
+    TimestampingServer, WorkProfile,
 };
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 /// Six index servers, two in each of three cells, and a front node.
 struct Stage {
     servers: Vec<TimestampingServer>,
-    program: Program,
+    program: FrontNode,
     _discovery: Discovery,
 }
 
@@ -28,10 +28,10 @@
         let servers: Vec<TimestampingServer> =
             (0..6).map(|_| TimestampingServer::start(work.clone())).collect();
         let discovery = Discovery::start(entries_at(servers.iter().map(|server| server.address)));
-        let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &list(0, &[]));
+        let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[]));
         config["settings"]["permissions"]["most_held"] = 1000.into();
         config["settings"]["permissions"]["streams_per_conn"] = work.max_parts_per_connection.into();
-        let program = Program::start_ready(NODE, &config);
+        let program = FrontNode::start_ready(NODE, &config);
         Stage { servers, program, _discovery: discovery }
     }
 
@@ -40,7 +40,7 @@
         let threads = (0..clients).map(|_| {
             let (address, over) = (self.program.address, over.clone());
             thread::spawn(move || {
-                let mut client = Client::to(address);
+                let mut client = Client::connect(address);
                 while !over.load(Ordering::Relaxed) {
                     assert_eq!(client.send(&query("any", &[0, 1, 2], 2000).1).status, 200);
                     thread::sleep(pause);
--- a/crates/node/tests/start_and_stop.rs
+++ b/crates/node/tests/start_and_stop.rs
@@ -4,7 +4,8 @@
 mod stage;
 
 use pinetrestle_standins::{
-    config_json, entries, eventually, failed_start, failed_start_with, list, query, Program, ServerBehavior,
+    config_json, endpoint_list, entries, eventually, failed_start, failed_start_with_env, query, FrontNode,
+    ServerBehavior,
 };
 use serde_json::{json, Value};
 use stage::Stage;
@@ -15,7 +16,7 @@
 
 #[test]
 fn an_invalid_configuration_is_reported_by_key_before_listening() {
-    let good = || config_json("127.0.0.1:0", "127.0.0.1:1", &list(0, &[]));
+    let good = || config_json("127.0.0.1:0", "127.0.0.1:1", &endpoint_list(0, &[]));
     let cases: [(&str, Value, &str); 13] = [
         ("/listen", json!("nowhere"), "listen"),
         ("/discovery", json!(7), "discovery"),
@@ -47,15 +48,15 @@
 
 #[test]
 fn environment_variables_fill_only_missing_keys() {
-    let mut config = config_json("127.0.0.1:0", "127.0.0.1:1", &list(0, &[]));
+    let mut config = config_json("127.0.0.1:0", "127.0.0.1:1", &endpoint_list(0, &[]));
     config["seed"] = json!("zz");
-    let (_, message) = failed_start_with(NODE, &config, &[("RELAY_LISTEN", "nowhere")]);
+    let (_, message) = failed_start_with_env(NODE, &config, &[("RELAY_LISTEN", "nowhere")]);
     assert!(message.contains("'seed'"), "the file's own address takes precedence: {message}");
     config.as_object_mut().expect("an object").remove("listen");
-    let (code, message) = failed_start_with(NODE, &config, &[("RELAY_LISTEN", "nowhere")]);
+    let (code, message) = failed_start_with_env(NODE, &config, &[("RELAY_LISTEN", "nowhere")]);
     assert_eq!(code, Some(2));
     assert!(message.contains("'listen'"), "{message}");
-    let (_, message) = failed_start_with(NODE, &config, &[("RELAY_LISTEN", "127.0.0.1:0")]);
+    let (_, message) = failed_start_with_env(NODE, &config, &[("RELAY_LISTEN", "127.0.0.1:0")]);
     assert!(message.contains("'seed'"), "{message}");
 }
 
@@ -63,7 +64,7 @@
 fn an_address_in_use_ends_the_program_with_an_error() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address").to_string();
-    let (code, message) = failed_start(NODE, &config_json(&address, "127.0.0.1:1", &list(0, &[])));
+    let (code, message) = failed_start(NODE, &config_json(&address, "127.0.0.1:1", &endpoint_list(0, &[])));
     assert_eq!(code, Some(1));
     assert!(message.contains(&address), "{message}");
 }
@@ -86,9 +87,9 @@
     assert_eq!(stage.client().send(&query("all", &[2], 2000).1).status, 200);
     let answer = open.read();
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(idle.is_ended(), "an idle connection is closed");
-    assert_eq!(stage.program.wait(), Some(0));
-    let lines = stage.program.lines();
+    assert!(idle.is_closed(), "an idle connection is closed");
+    assert_eq!(stage.program.wait_for_exit(), Some(0));
+    let lines = stage.program.log_lines();
     let counters = lines.iter().find(|line| line.contains("msg=\"counters\"")).expect("counters at exit");
     assert!(counters.contains("\\\"whole\\\":3"), "{counters}");
 }
@@ -103,7 +104,7 @@
     stage.program.terminate();
     let answer = open.read();
     assert!(answer.status == 500 || answer.status == 503, "{answer:?}");
-    assert_eq!(stage.program.wait(), Some(0));
+    assert_eq!(stage.program.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -112,9 +113,9 @@
     assert_eq!(stage.client().send(&query("all", &[0], 2000).1).status, 200);
     let address = stage.program.address;
     stage.program.kill();
-    let known = list(1, &entries(&stage.servers));
+    let known = endpoint_list(1, &entries(&stage.servers));
     let config = config_json(&address.to_string(), &stage.discovery.address.to_string(), &known);
-    stage.program = Program::start_ready(NODE, &config);
+    stage.program = FrontNode::start_ready(NODE, &config);
     assert_eq!(stage.program.address, address);
     assert_eq!(stage.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
 }
--- a/crates/standins/src/addresses.rs
+++ b/crates/standins/src/addresses.rs
@@ -35,18 +35,18 @@
 
 impl ReservedAddress {
     /// Reserves an address.
-    pub fn start() -> ReservedAddress {
+    pub fn reserve() -> ReservedAddress {
         let (socket, address) = bound_socket();
         ReservedAddress { address, socket }
     }
 
     /// Starts a discovery service there, with these entries.
-    pub fn open_discovery(self, entries: Vec<Value>) -> Discovery {
+    pub fn start_discovery(self, entries: Vec<Value>) -> Discovery {
         Discovery::start_on(self.listen(), entries)
     }
 
     /// Starts an index server there.
-    pub fn open_server(self, behavior: ServerBehavior) -> Server {
+    pub fn start_server(self, behavior: ServerBehavior) -> Server {
         Server::start_on(self.listen(), behavior)
     }
 
@@ -67,7 +67,7 @@
 
 impl PendingAddress {
     /// From now on nobody gets through.
-    pub fn start() -> PendingAddress {
+    pub fn reserve() -> PendingAddress {
         let (socket, address) = bound_socket();
         socket.listen(0).expect("a listener");
         let listener = TcpListener::from(socket);
@@ -77,7 +77,7 @@
     }
 
     /// From now on a server is there.
-    pub fn open(self, behavior: ServerBehavior) -> Server {
+    pub fn start_server(self, behavior: ServerBehavior) -> Server {
         Server::start_on(self.listener, behavior)
     }
 }
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -13,7 +13,7 @@
     /// Its status.
     pub status: u16,
     /// Its header fields by their names in lower case.
-    pub fields: HashMap<String, String>,
+    pub headers: HashMap<String, String>,
     /// Its body.
     pub body: String,
 }
@@ -49,7 +49,7 @@
 
 impl Client {
     /// Connects to a front node.
-    pub fn to(address: SocketAddr) -> Client {
+    pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("a connection");
         stream.set_read_timeout(Some(WAIT_LIMIT)).expect("a time-out");
         Client { stream: BufReader::new(stream) }
@@ -64,15 +64,15 @@
     pub fn try_read(&mut self) -> Option<Answer> {
         let head = read_head(&mut self.stream)?;
         let status = head[0].split(' ').nth(1).and_then(|word| word.parse().ok()).expect("a status");
-        let fields: HashMap<String, String> = head[1..]
+        let headers: HashMap<String, String> = head[1..]
             .iter()
             .filter_map(|line| line.split_once(": "))
             .map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()))
             .collect();
-        let length = fields.get("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let length = headers.get("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
         let mut body = vec![0; length];
         self.stream.read_exact(&mut body).ok()?;
-        Some(Answer { status, fields, body: String::from_utf8(body).expect("text") })
+        Some(Answer { status, headers, body: String::from_utf8(body).expect("text") })
     }
 
     /// Reads an answer.
@@ -92,7 +92,7 @@
     }
 
     /// Waits for a byte or the end of the connection; whether it is the end.
-    pub fn is_ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         let mut byte = [0];
         matches!(self.stream.read(&mut byte), Ok(0) | Err(_))
     }
--- a/crates/standins/src/deployment.rs
+++ b/crates/standins/src/deployment.rs
@@ -40,7 +40,7 @@
 }
 
 /// A complete endpoint list at a version.
-pub fn list(index: u64, entries: &[Value]) -> Value {
+pub fn endpoint_list(index: u64, entries: &[Value]) -> Value {
     json!({"index": index, "snapshot": true, "endpoints": entries})
 }
 
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -61,7 +61,7 @@
     entries: Vec<Value>,
     /// Watches begun so far.
     watches: u64,
-    /// Counts calls of [`Discovery::drop_watches`]: a watch begun at a lower count ends.
+    /// Counts calls of [`Discovery::close_watches`]: a watch begun at a lower count ends.
     drops: u64,
     /// Counts calls of [`Discovery::fail_watches`]: a watch begun at a lower count has the latest fault.
     faults: u64,
@@ -145,12 +145,12 @@
     }
 
     /// Ends every established watch.
-    pub fn drop_watches(&self) {
+    pub fn close_watches(&self) {
         self.state().drops += 1;
     }
 
     /// Watches begun so far.
-    pub fn watches(&self) -> u64 {
+    pub fn watch_count(&self) -> u64 {
         self.state().watches
     }
 }
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/front_node.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// A running front node.
-pub struct Program {
+pub struct FrontNode {
     child: Child,
     /// Where it listens.
     pub address: SocketAddr,
@@ -21,11 +21,15 @@
 
 /// Starts a program that can't run: its exit code and its output.
 pub fn failed_start(program: &str, config: &Value) -> (Option<i32>, String) {
-    failed_start_with(program, config, &[])
+    failed_start_with_env(program, config, &[])
 }
 
 /// The same with further variables in the environment.
-pub fn failed_start_with(program: &str, config: &Value, variables: &[(&str, &str)]) -> (Option<i32>, String) {
+pub fn failed_start_with_env(
+    program: &str,
+    config: &Value,
+    variables: &[(&str, &str)],
+) -> (Option<i32>, String) {
     let file = write_config(config);
     let mut child = Command::new(program)
         .env("RELAY_CONFIG", &file)
@@ -51,14 +55,14 @@
     file.into_temp_path()
 }
 
-impl Program {
+impl FrontNode {
     /// Starts it and waits until its log names the address at which it listens.
-    pub fn start(program: &str, config: &Value) -> Program {
-        Program::start_under("true", program, config)
+    pub fn start(program: &str, config: &Value) -> FrontNode {
+        FrontNode::start_with_shell_setup("true", program, config)
     }
 
     /// Starts it from a shell after this command.
-    pub fn start_under(command: &str, program: &str, config: &Value) -> Program {
+    pub fn start_with_shell_setup(command: &str, program: &str, config: &Value) -> FrontNode {
         let file = write_config(config);
         let mut child = Command::new("/bin/sh")
             .args(["-c", &format!("{command}; exec {program}")])
@@ -81,29 +85,29 @@
             address = line.and_then(|line| log_field(line, "listen")).and_then(|text| text.parse().ok());
             address.is_some()
         });
-        Program { child, address: address.expect("an address"), lines, file }
+        FrontNode { child, address: address.expect("an address"), lines, file }
     }
 
     /// Starts it and waits until it is ready.
-    pub fn start_ready(program: &str, config: &Value) -> Program {
-        let program = Program::start(program, config);
+    pub fn start_ready(program: &str, config: &Value) -> FrontNode {
+        let program = FrontNode::start(program, config);
         eventually("ready", || program.get("/health/ready").0 == 200);
         program
     }
 
     /// Its process id.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
     /// Its configuration file.
-    pub fn file(&self) -> &std::path::Path {
+    pub fn config_file(&self) -> &std::path::Path {
         &self.file
     }
 
     /// Sends a GET request for a path: status and body.
     pub fn get(&self, path: &str) -> (u16, String) {
-        let answer = Client::to(self.address).send(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
+        let answer = Client::connect(self.address).send(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
         (answer.status, answer.body)
     }
 
@@ -113,7 +117,7 @@
     }
 
     /// Close reasons of the connections of a side, as logged.
-    pub fn reasons(&self, side: &str) -> Vec<String> {
+    pub fn close_reasons(&self, side: &str) -> Vec<String> {
         let lines = self.lines.lock().expect("no panic");
         let ended = lines.iter().filter(|line| line.contains("msg=\"connection ended\""));
         ended
@@ -123,12 +127,12 @@
     }
 
     /// The lines of its log so far.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         self.lines.lock().expect("no panic").clone()
     }
 
     /// Its peak resident memory in kilobytes.
-    pub fn peak_kb(&self) -> u64 {
+    pub fn peak_memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("a peak");
         line.split_whitespace().nth(1).and_then(|word| word.parse().ok()).expect("a number")
@@ -165,8 +169,8 @@
     }
 
     /// How many lines of the log contain all of these texts.
-    pub fn count(&self, texts: &[&str]) -> usize {
-        self.lines().iter().filter(|line| texts.iter().all(|text| line.contains(text))).count()
+    pub fn count_log_lines(&self, texts: &[&str]) -> usize {
+        self.log_lines().iter().filter(|line| texts.iter().all(|text| line.contains(text))).count()
     }
 
     /// Kills it (SIGKILL).
@@ -176,7 +180,7 @@
     }
 
     /// The exit code, once it has ended.
-    pub fn wait(&mut self) -> Option<i32> {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut code = None;
         eventually("the program ends", || {
             code = self.child.try_wait().expect("it can be asked");
@@ -191,7 +195,7 @@
     }
 }
 
-impl Drop for Program {
+impl Drop for FrontNode {
     fn drop(&mut self) {
         // It may have ended by itself.
         let _ = self.child.kill();
@@ -206,7 +210,7 @@
     Some(rest.split(' ').next().unwrap_or_default().to_owned())
 }
 /// A program whose log is read up to the line that names its address, and never again.
-pub struct ProgramWithUnreadLog {
+pub struct FrontNodeWithUnreadLog {
     child: Child,
     /// Where it listens.
     pub address: SocketAddr,
@@ -214,9 +218,9 @@
     _file: tempfile::TempPath,
 }
 
-impl ProgramWithUnreadLog {
+impl FrontNodeWithUnreadLog {
     /// Starts it and reads its log up to that line.
-    pub fn start(program: &str, config: &Value) -> ProgramWithUnreadLog {
+    pub fn start(program: &str, config: &Value) -> FrontNodeWithUnreadLog {
         let file = write_config(config);
         let mut child = Command::new(program)
             .env("RELAY_CONFIG", &file)
@@ -230,11 +234,11 @@
             assert!(output.read_line(&mut line).expect("text") > 0, "it ended");
         }
         let address = log_field(&line, "listen").and_then(|text| text.parse().ok()).expect("an address");
-        ProgramWithUnreadLog { child, address, _output: output, _file: file }
+        FrontNodeWithUnreadLog { child, address, _output: output, _file: file }
     }
 }
 
-impl Drop for ProgramWithUnreadLog {
+impl Drop for FrontNodeWithUnreadLog {
     fn drop(&mut self) {
         // It may have ended by itself.
         let _ = self.child.kill();
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -15,7 +15,7 @@
 //! | [`SmallDeployment`] | six index servers, discovery and a front node |
 //! | [`settings`], [`config_json`] | a small deployment and its files |
 //! | [`Load`] | a balancer and its clients: sends to the front nodes that are ready, checks each query for one answer |
-//! | [`Program`] | starts a front node, reads its log, sends it signals |
+//! | [`FrontNode`] | starts a front node, reads its log, sends it signals |
 
 #![warn(missing_docs)]
 
@@ -23,8 +23,8 @@
 mod clients;
 mod deployment;
 mod discovery;
+mod front_node;
 mod load;
-mod program;
 mod received_part;
 mod server_behavior;
 mod servers;
@@ -34,10 +34,10 @@
 
 pub use addresses::{PendingAddress, ReservedAddress};
 pub use clients::{query, Answer, Client};
-pub use deployment::{config_json, entries, entries_at, list, settings, with_setting_aliases};
+pub use deployment::{config_json, endpoint_list, entries, entries_at, settings, with_setting_aliases};
 pub use discovery::{Discovery, DiscoveryBehavior, WatchFault};
+pub use front_node::{failed_start, failed_start_with_env, log_field, FrontNode, FrontNodeWithUnreadLog};
 pub use load::{p99_ms, query_once, wall_us, Load, QueryRecord};
-pub use program::{failed_start, failed_start_with, log_field, Program, ProgramWithUnreadLog};
 pub use received_part::ReceivedPart;
 pub use server_behavior::ServerBehavior;
 pub use servers::Server;
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -36,13 +36,13 @@
 #[derive(Debug, Clone)]
 pub struct QueryRecord {
     /// When it was begun, by the wall clock.
-    pub at_us: u64,
+    pub started_at_us: u64,
     /// From the begin of its connection to the end, in microseconds.
-    pub took_us: u64,
+    pub duration_us: u64,
     /// The status of its answer; 0: none came.
     pub status: u16,
     /// Bytes that came after its answer.
-    pub more: usize,
+    pub excess_bytes: usize,
     /// The front node that it was sent to, by its place in the list.
     pub node: usize,
 }
@@ -184,7 +184,13 @@
     let begun = Instant::now();
     let response = request(address, &text, QUERY_TIMEOUT)?;
     let took_us = begun.elapsed().as_micros() as u64;
-    Some(QueryRecord { at_us, took_us, status: response.status, more: response.excess_bytes, node })
+    Some(QueryRecord {
+        started_at_us: at_us,
+        duration_us: took_us,
+        status: response.status,
+        excess_bytes: response.excess_bytes,
+        node,
+    })
 }
 
 /// A query of a class for three shards that asks for the connection's close after the answer.
@@ -213,7 +219,7 @@
     }
 
     /// How many front nodes are ready now.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.shared.lock().expect("no panic").ready.iter().filter(|r| **r).count()
     }
 
@@ -228,7 +234,7 @@
     }
 
     /// Rounds in which no front node was ready.
-    pub fn nowhere(&self) -> u64 {
+    pub fn rounds_without_ready_node(&self) -> u64 {
         self.shared.lock().expect("no panic").nowhere
     }
 
@@ -250,7 +256,7 @@
     }
 
     /// Most front nodes away at once since `from_us`, at which all were ready.
-    pub fn most_away(&self, from_us: u64) -> usize {
+    pub fn most_unready(&self, from_us: u64) -> usize {
         let shared = self.shared.lock().expect("no panic");
         let mut away = BTreeSet::new();
         let mut most = 0;
@@ -284,7 +290,7 @@
 /// The 99th percentile of the time that queries begun in a span took, in milliseconds.
 pub fn p99_ms(asked: &[QueryRecord], from_us: u64, to_us: u64) -> f64 {
     let mut took: Vec<u64> =
-        asked.iter().filter(|a| (from_us..to_us).contains(&a.at_us)).map(|a| a.took_us).collect();
+        asked.iter().filter(|a| (from_us..to_us).contains(&a.started_at_us)).map(|a| a.duration_us).collect();
     took.sort_unstable();
     took.get(took.len().saturating_sub(1) * 99 / 100).map_or(0.0, |us| *us as f64 / 1_000.0)
 }
--- a/crates/standins/src/received_part.rs
+++ b/crates/standins/src/received_part.rs
@@ -10,11 +10,11 @@
     /// Its shard.
     pub shard: u32,
     /// Its list of settings (`d=500,k=...`), as it stands in the part's line.
-    pub list: String,
+    pub attributes: String,
     /// The text it carries.
     pub text: String,
     /// When it was read.
-    pub at: Instant,
+    pub read_at: Instant,
 }
 
 impl ReceivedPart {
@@ -23,7 +23,7 @@
     /// # Panics
     /// Where its list does not begin with that time.
     pub fn time_left(&self) -> Duration {
-        let milliseconds = self.list.strip_prefix("d=").and_then(|list| list.split(',').next());
+        let milliseconds = self.attributes.strip_prefix("d=").and_then(|list| list.split(',').next());
         Duration::from_millis(milliseconds.expect("a time left").parse().expect("milliseconds"))
     }
 }
@@ -43,9 +43,9 @@
         parts.push(ReceivedPart {
             id: fields[0].into(),
             shard: fields[1].parse().expect("a shard"),
-            list: fields[2].into(),
+            attributes: fields[2].into(),
             text: String::from_utf8(text.to_vec()).expect("text"),
-            at,
+            read_at: at,
         });
         rest = &rest[text_end..];
     }
--- a/crates/standins/src/server_behavior.rs
+++ b/crates/standins/src/server_behavior.rs
@@ -27,7 +27,7 @@
     /// Closes the connection once it has read a frame.
     ClosingAfterFrame,
     /// Sends bytes that are no frame.
-    SendingNoFrame,
+    SendingInvalidFrame,
     /// Answers a part that was never sent.
     AnsweringUnknownPart,
     /// Closes the connection in the middle of an answer.
@@ -99,7 +99,7 @@
                 Action::Send([answers(parts), vec![0xff; GARBAGE_BYTES]].concat())
             }
             ServerBehavior::Trickling => Action::Trickle,
-            ServerBehavior::SendingNoFrame => Action::Send(b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec()),
+            ServerBehavior::SendingInvalidFrame => Action::Send(b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec()),
             ServerBehavior::AnsweringUnknownPart => Action::Send(frame(b'5', b"nobody.1 S 1 -\nv")),
         }
     }
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -100,7 +100,7 @@
     }
 
     /// Connections accepted so far.
-    pub fn connections(&self) -> u64 {
+    pub fn accepted_connections(&self) -> u64 {
         self.state().connections
     }
 }
--- a/crates/standins/src/small_deployment.rs
+++ b/crates/standins/src/small_deployment.rs
@@ -1,6 +1,6 @@
 //! Six index servers, two in each of three cells, with discovery and a front node.
 
-use crate::{config_json, entries, list, Client, Discovery, Program, Server, ServerBehavior};
+use crate::{config_json, endpoint_list, entries, Client, Discovery, FrontNode, Server, ServerBehavior};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -11,18 +11,18 @@
     /// Discovery, which tells them.
     pub discovery: Discovery,
     /// The front node, ready.
-    pub program: Program,
+    pub program: FrontNode,
 }
 
 impl SmallDeployment {
     /// Index servers that do this, and a front node with something changed in its configuration.
-    pub fn with(program: &str, doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
+    pub fn start(program: &str, doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
         let servers: Vec<Server> = (0..6).map(|_| Server::start(doing.clone())).collect();
         let discovery = Discovery::start(entries(&servers));
-        let known = list(1, &entries(&servers));
+        let known = endpoint_list(1, &entries(&servers));
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
         change(&mut config);
-        let program = Program::start_ready(program, &config);
+        let program = FrontNode::start_ready(program, &config);
         SmallDeployment { servers, discovery, program }
     }
 
@@ -33,7 +33,7 @@
 
     /// A client of it.
     pub fn client(&self) -> Client {
-        Client::to(self.address())
+        Client::connect(self.address())
     }
 
     /// Parts that index servers were sent.
--- a/crates/standins/src/timestamping_server.rs
+++ b/crates/standins/src/timestamping_server.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
     /// How long after the start it lasts.
-    pub span: Duration,
+    pub duration: Duration,
     /// By how much parts take longer meanwhile.
     pub factor: u32,
 }
@@ -52,7 +52,7 @@
             service_times: vec![Duration::from_millis(2)],
             cancel_stops_work: true,
             handshake: Duration::ZERO,
-            warm_up: WarmUp { span: Duration::ZERO, factor: 1 },
+            warm_up: WarmUp { duration: Duration::ZERO, factor: 1 },
             draining: false,
         }
     }
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 pub struct ReceivedFrame {
     /// When its last byte was read.
-    pub at: Instant,
+    pub read_at: Instant,
     /// On which connection, counted from 1.
     pub connection: u64,
     /// The parts of a call; none for a cancel.
@@ -151,7 +151,7 @@
     }
 
     /// Changes how it works from now on.
-    pub fn change_work(&self, change: impl FnOnce(&mut WorkProfile)) {
+    pub fn update_profile(&self, change: impl FnOnce(&mut WorkProfile)) {
         change(&mut self.shared.lock().work);
         self.shared.changed.notify_all();
     }
@@ -173,7 +173,7 @@
     }
 
     /// Connections accepted so far.
-    pub fn connections(&self) -> u64 {
+    pub fn accepted_connections(&self) -> u64 {
         self.shared.lock().connections
     }
 }
@@ -255,7 +255,7 @@
     /// Takes in a frame that has just been read on a connection.
     fn take_frame(&mut self, body: &[u8], connection: u64) {
         let at = Instant::now();
-        let mut frame = ReceivedFrame { at, connection, parts: Vec::new(), cancelled: None };
+        let mut frame = ReceivedFrame { read_at: at, connection, parts: Vec::new(), cancelled: None };
         if body[0] == b'2' {
             let id = String::from_utf8(body[1..].to_vec()).expect("an id");
             self.cancel(&id);
@@ -286,7 +286,7 @@
         let times = &self.work.service_times;
         let mut service_time = times[self.parts_begun % times.len()];
         self.parts_begun += 1;
-        if now.duration_since(self.started_at) < self.work.warm_up.span {
+        if now.duration_since(self.started_at) < self.work.warm_up.duration {
             service_time *= self.work.warm_up.factor;
         }
         self.running.insert(part.id.clone(), RunningPart { connection, cancelled: false });
--- a/crates/standins/tests/timestamping_server.rs
+++ b/crates/standins/tests/timestamping_server.rs
@@ -88,8 +88,8 @@
     let begun = Instant::now();
     server.resume_reading();
     eventually("both are read, also that of a connection that ended", || read(&server).len() == 3);
-    let late = server.received().iter().filter(|seen| seen.at >= begun).count();
-    assert_eq!((late, server.connections()), (2, 2));
+    let late = server.received().iter().filter(|seen| seen.read_at >= begun).count();
+    assert_eq!((late, server.accepted_connections()), (2, 2));
 }
 
 #[test]
@@ -104,14 +104,14 @@
     stream.write_all(&call("a.3")).expect("written");
     assert!(answer(&mut stream).starts_with("5a.3 B"));
     assert!(begun.elapsed() >= ms(60), "{:?}", begun.elapsed());
-    server.change_work(|work| work.draining = false);
+    server.update_profile(|work| work.draining = false);
     stream.write_all(&call("b.3")).expect("written");
     assert!(answer(&mut stream).starts_with("5b.3 S"));
 }
 
 #[test]
 fn a_cold_server_takes_longer_until_it_is_warm() {
-    let warm_up = WarmUp { span: ms(400), factor: 20 };
+    let warm_up = WarmUp { duration: ms(400), factor: 20 };
     let server = TimestampingServer::start(WorkProfile {
         warm_up,
         service_times: vec![ms(10)],
