--- a/crates/member/src/raft_storage/mod.rs
+++ b/crates/member/src/raft_storage/mod.rs
@@ -73,7 +73,7 @@
 
     /// Bytes of the store's log.
     pub fn log_bytes(&self) -> u64 {
-        self.log.bytes()
+        self.log.size_bytes()
     }
 
     /// Appends entries from Raft; durable after [`RaftStorage::sync`].
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -9,7 +9,7 @@
 use crate::invariants::PendingReply;
 use crate::messages::Message;
 use crate::shutdown::{PhaseReceiver, ShutdownPhase};
-use pinetrestle_recorder::{QueryKey, Record, Step};
+use pinetrestle_recorder::{EventKind, QueryKey, Record};
 use slog::info;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -97,7 +97,7 @@
             RequestAction::Respond(response) => Ok(response),
             RequestAction::Query { key, request } => {
                 let age = || {
-                    Record::for_query(Step::RequestRead, key)
+                    Record::for_query(EventKind::RequestRead, key)
                         .with_value(received_at.elapsed().as_micros() as u64)
                 };
                 self.context.services.recorder.record(age);
@@ -115,7 +115,7 @@
         let context = self.context.clone();
         let services = &context.services;
         if self.socket.has_disconnected() {
-            services.recorder.record(|| Record::for_query(Step::ClientDisconnected, query));
+            services.recorder.record(|| Record::for_query(EventKind::ClientDisconnected, query));
             return Err(CloseReason::ClientDisconnected);
         }
         let token = context.take_token();
@@ -129,7 +129,7 @@
                 stays = self.socket.stays_connected() => if !stays { break },
             }
         }
-        services.recorder.record(|| Record::for_query(Step::ClientDisconnected, query));
+        services.recorder.record(|| Record::for_query(EventKind::ClientDisconnected, query));
         let _ = services.to_core.send(Message::ClientDisconnected { token }).await;
         Err(CloseReason::ClientDisconnected)
     }
@@ -146,11 +146,11 @@
         let close_reason = self.reason_to_close(keep_alive);
         let written = self.socket.write(response, close_reason.is_some()).await;
         if let Some(query) = query {
-            let step = if written.is_ok() { Step::ReplyWritten } else { Step::ReplyNotWritten };
+            let kind = if written.is_ok() { EventKind::ReplyWritten } else { EventKind::ReplyNotWritten };
             self.context
                 .services
                 .recorder
-                .record(|| Record::for_query(step, query).with_value(response.status.into()));
+                .record(|| Record::for_query(kind, query).with_value(response.status.into()));
         }
         written?;
         Ok(close_reason)
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -7,7 +7,7 @@
 use crate::upstream::ConnectionPools;
 use pinetrestle::interface::{Id, Micros, ReplicaId};
 use pinetrestle_protocol::connection::{AttemptId, LostAttempt, OutgoingPart};
-use pinetrestle_recorder::{query_key, QueryKey, Record, Recorder, Step};
+use pinetrestle_recorder::{query_key, EventKind, QueryKey, Record, Recorder};
 use slog::{info, Logger};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -84,7 +84,7 @@
     pub(crate) ready: Rc<Cell<bool>>,
     /// A shutdown was requested: the front node is not ready any more.
     pub(crate) stopping: bool,
-    /// Records each step of a query.
+    /// Records each event of a query.
     pub(crate) recorder: Rc<Recorder>,
     /// Checks the rules of the front node.
     pub(crate) invariants: Rc<Invariants>,
@@ -190,12 +190,13 @@
         let parts = query.parts.len();
         match self.host.admit(now, query) {
             Ok(id) => {
-                self.recorder.record(|| Record::for_query(Step::QueryAccepted, key).with_value(parts as u64));
+                self.recorder
+                    .record(|| Record::for_query(EventKind::QueryAccepted, key).with_value(parts as u64));
                 self.invariants.query_admitted(key);
                 self.pending.insert(id, PendingQuery { token, key, reply });
             }
             Err(rejection) => {
-                self.recorder.record(|| Record::for_query(Step::QueryNotAccepted, key));
+                self.recorder.record(|| Record::for_query(EventKind::QueryNotAccepted, key));
                 // A client that has left meanwhile needs no answer.
                 let _ = reply.send(Err(rejection));
             }
@@ -236,7 +237,7 @@
             Command::Send { replica, parts } => {
                 for part in &parts {
                     let record =
-                        || Record::for_part(Step::AttemptDecided, &part.id).with_value(replica.into());
+                        || Record::for_part(EventKind::AttemptDecided, &part.id).with_value(replica.into());
                     self.recorder.record(record);
                 }
                 self.send(replica, parts, self.now());
@@ -257,7 +258,7 @@
             // The channel holds one request: a second one that waits would ask for the same.
             Command::WatchEndpoints => drop(self.watch_requests.try_send(())),
             Command::OrphanedAttempts(attempts) => {
-                let record = Record::for_query(Step::InvariantViolated, 0).with_value(attempts as u64);
+                let record = Record::for_query(EventKind::InvariantViolated, 0).with_value(attempts as u64);
                 self.recorder.raise_alarm(STRAY_ATTEMPTS_ALARM, record);
             }
             Command::RetryForbidden(query) => {
@@ -275,7 +276,7 @@
             Reply::Rejected { .. } => 1,
             Reply::Failed => 2,
         };
-        self.recorder.record(|| Record::for_query(Step::ReplyDecided, query.key).with_detail(kind));
+        self.recorder.record(|| Record::for_query(EventKind::ReplyDecided, query.key).with_detail(kind));
         self.invariants.query_finished(query.key);
         // A client that has left meanwhile needs no answer.
         let _ = query.reply.send(Ok(reply));
--- a/crates/node/src/flight_recorder.rs
+++ b/crates/node/src/flight_recorder.rs
@@ -213,17 +213,17 @@
         // Before the ring's oldest record nothing can be missed by a write that takes the complete ring.
         let mut at_oldest = from == 0;
         while next < until {
-            let slice = self.recorder.slice(next, RECORDS_PER_LINE);
+            let batch = self.recorder.read_from(next, RECORDS_PER_LINE);
             if !at_oldest {
-                summary.missed += slice.missed;
+                summary.missed += batch.missed;
             }
             at_oldest = false;
-            if slice.records.is_empty() {
+            if batch.records.is_empty() {
                 break;
             }
-            summary.records += slice.records.len() as u64;
-            next = slice.next;
-            output.write_all(format!("{}\n", encode_line(&slice.records)).as_bytes()).await?;
+            summary.records += batch.records.len() as u64;
+            next = batch.next_position;
+            output.write_all(format!("{}\n", encode_line(&batch.records)).as_bytes()).await?;
         }
         output.flush().await?;
         Ok(summary)
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -15,7 +15,7 @@
 
 use crate::counters::{Counter, Counters};
 use pinetrestle::interface::ReplicaId;
-use pinetrestle_recorder::{QueryKey, Record, Recorder, Step};
+use pinetrestle_recorder::{EventKind, QueryKey, Record, Recorder};
 use slog::{error, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -120,7 +120,7 @@
     /// Counts, records and logs the violation of an invariant.
     pub(crate) fn report_violation(&self, rule: Rule, query: QueryKey) {
         self.counter(rule).increment();
-        self.recorder.raise_alarm(rule as u8, Record::for_query(Step::InvariantViolated, query));
+        self.recorder.raise_alarm(rule as u8, Record::for_query(EventKind::InvariantViolated, query));
         if self.logged.get() < MAX_LOGGED {
             self.logged.set(self.logged.get() + 1);
             error!(self.log, "invariant broken"; "rule" => format!("{rule:?}"),
--- a/crates/node/src/pause_detector.rs
+++ b/crates/node/src/pause_detector.rs
@@ -3,7 +3,7 @@
 //! A timer task ticks every [`TICK_INTERVAL`]. A tick that comes late shows that nothing ran since the tick before it,
 //! so what is read just after it may have waited in the kernel's buffers since then.
 
-use pinetrestle_recorder::{Record, Recorder, Step};
+use pinetrestle_recorder::{EventKind, Record, Recorder};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -78,7 +78,8 @@
             let since_last_tick = now - self.last_tick.get();
             if since_last_tick >= PAUSE_THRESHOLD {
                 recorder.record(|| {
-                    Record::for_query(Step::ProcessPaused, 0).with_value(since_last_tick.as_micros() as u64)
+                    Record::for_query(EventKind::ProcessPaused, 0)
+                        .with_value(since_last_tick.as_micros() as u64)
                 });
             }
             self.tick(now);
--- a/crates/node/src/upstream/driver.rs
+++ b/crates/node/src/upstream/driver.rs
@@ -7,7 +7,7 @@
 use crate::deadline::before_deadline;
 use crate::messages::Message;
 use pinetrestle_protocol::connection::OutgoingPart;
-use pinetrestle_recorder::{Record, Step};
+use pinetrestle_recorder::{EventKind, Record};
 use pinetrestle_system_calls::{connect, is_out_of_buffers, is_transient_local_error, BUFFER_RETRY_DELAY};
 use slog::info;
 use std::io::{self, ErrorKind};
@@ -72,7 +72,7 @@
         self.shared
             .instruments
             .recorder
-            .record(|| Record::for_query(Step::ConnectionUp, 0).on_connection(self.connection.number));
+            .record(|| Record::for_query(EventKind::ConnectionUp, 0).on_connection(self.connection.number));
         transfer.established(Instant::now());
         loop {
             // Read before anything is written: a connection that the index server has ended takes no more calls.
@@ -177,7 +177,7 @@
             "parts" => connection.parts.get(), "lost" => in_flight, "late" => late,
             "in" => transfer.bytes_in(), "out" => transfer.bytes_out(), "reason" => %reason);
         let record = || {
-            Record::for_query(Step::ConnectionClosed, 0)
+            Record::for_query(EventKind::ConnectionClosed, 0)
                 .on_connection(connection.number)
                 .with_value(in_flight as u64)
         };
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -28,7 +28,7 @@
     pub(crate) counters: Rc<Counters>,
     /// Logs one line a connection.
     pub(crate) log: Logger,
-    /// Records each step of a part.
+    /// Records each event of a part.
     pub(crate) recorder: Rc<Recorder>,
     /// Checks each part as its first byte is written.
     pub(crate) invariants: Rc<Invariants>,
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -9,7 +9,7 @@
 use pinetrestle::interface::ReplicaId;
 use pinetrestle_protocol::connection::{AttemptId, ClosedConnection, OutgoingPart};
 use pinetrestle_protocol::names::FrameFormat;
-use pinetrestle_recorder::{Record, Step};
+use pinetrestle_recorder::{EventKind, Record};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -83,7 +83,7 @@
         for part in &parts {
             self.by_attempt.insert(part.attempt_id, connection.clone());
             let record = || {
-                Record::for_part(Step::PartQueued, &part.id)
+                Record::for_part(EventKind::PartQueued, &part.id)
                     .on_connection(connection.number)
                     .with_value(replica as u64)
             };
@@ -99,7 +99,7 @@
         let instruments = &self.shared.instruments;
         instruments.counters.connections.servers_exhausted.increment();
         for part in parts {
-            let record = || Record::for_part(Step::NoConnection, &part.id).with_value(replica as u64);
+            let record = || Record::for_part(EventKind::NoConnection, &part.id).with_value(replica as u64);
             instruments.recorder.record(record);
         }
     }
@@ -150,7 +150,9 @@
         instruments.counters.connections.servers_begun.increment();
         instruments.counters.connections.servers_open.increment();
         instruments.recorder.record(|| {
-            Record::for_query(Step::ConnectionOpening, 0).on_connection(number).with_value(replica as u64)
+            Record::for_query(EventKind::ConnectionOpening, 0)
+                .on_connection(number)
+                .with_value(replica as u64)
         });
         let driver = Driver { connection: connection.clone(), shared: self.shared.clone(), address };
         spawn_local(driver.run());
@@ -182,7 +184,7 @@
         let cancelled = connection.link.borrow_mut().cancel(attempt_id, self.sends_cancels);
         if let Some(part) = cancelled {
             recorder.record(|| {
-                Record::for_part(Step::AttemptCancelled, &part.id)
+                Record::for_part(EventKind::AttemptCancelled, &part.id)
                     .on_connection(connection.number)
                     .with_detail(part.withdrawn.into())
             });
@@ -193,7 +195,7 @@
             // call opens another connection.
             connection.close_as_unresponsive();
             recorder.record(|| {
-                Record::for_query(Step::ConnectionDraining, 0)
+                Record::for_query(EventKind::ConnectionDraining, 0)
                     .on_connection(connection.number)
                     .with_detail(CLOSED_UNRESPONSIVE)
             });
--- a/crates/node/src/upstream/transfer.rs
+++ b/crates/node/src/upstream/transfer.rs
@@ -7,7 +7,7 @@
 use crate::messages::Message;
 use pinetrestle_protocol::connection::{ReceivedAnswer, WriteEvent};
 use pinetrestle_protocol::frames::PartOutcome;
-use pinetrestle_recorder::{Record, Step};
+use pinetrestle_recorder::{EventKind, Record};
 use pinetrestle_system_calls::{is_out_of_buffers, retry_interrupted, BUFFER_RETRY_DELAY};
 use std::io::{self, ErrorKind, IoSlice};
 use std::rc::Rc;
@@ -114,9 +114,9 @@
         let instruments = &self.shared.instruments;
         instruments.counters.connections.server_bytes_in.add(count as u64);
         let number = self.connection.number;
-        instruments
-            .recorder
-            .record(|| Record::for_query(Step::BytesRead, 0).on_connection(number).with_value(count as u64));
+        instruments.recorder.record(|| {
+            Record::for_query(EventKind::BytesRead, 0).on_connection(number).with_value(count as u64)
+        });
 
         let link = &self.connection.link;
         let late_before = link.borrow().late_answers;
@@ -152,7 +152,7 @@
                 PartOutcome::Error => ERROR,
                 PartOutcome::Rejected => REJECTED,
             };
-            Record::for_part(Step::AnswerRead, answer.id)
+            Record::for_part(EventKind::AnswerRead, answer.id)
                 .on_connection(self.connection.number)
                 .with_detail(end)
         });
@@ -198,11 +198,11 @@
         }
         instruments.recorder.record(|| {
             let record = match written {
-                WriteEvent::Started(part) => Record::for_part(Step::FirstByteWritten, &part.id),
+                WriteEvent::Started(part) => Record::for_part(EventKind::FirstByteWritten, &part.id),
                 WriteEvent::Complete { id, parts } => {
-                    Record::for_part(Step::LastByteWritten, id).with_value(parts as u64)
+                    Record::for_part(EventKind::LastByteWritten, id).with_value(parts as u64)
                 }
-                WriteEvent::Cancelled(id) => Record::for_part(Step::CancelWritten, id),
+                WriteEvent::Cancelled(id) => Record::for_part(EventKind::CancelWritten, id),
             };
             record.on_connection(self.connection.number)
         });
--- a/crates/node/tests/flight_recorder.rs
+++ b/crates/node/tests/flight_recorder.rs
@@ -1,6 +1,6 @@
 //! The flight recorder of a running program: its operator file, when the ring is written, and what is in it.
 
-use pinetrestle_recorder::{log_lines, query_key, timeline, Record, Step};
+use pinetrestle_recorder::{log_lines, query_key, timeline, EventKind, Record};
 use pinetrestle_standins::{
     config_json, entries, entry, eventually, list, query, Client, Discovery, Program, Server, ServerBehavior,
 };
@@ -34,7 +34,7 @@
     }
 
     fn records(&self) -> Vec<Record> {
-        log_lines::read(self.program.lines().iter().map(String::as_str)).records
+        log_lines::decode_lines(self.program.lines().iter().map(String::as_str)).records
     }
 
     fn written(&self, at: &str) -> bool {
@@ -42,8 +42,8 @@
     }
 }
 
-fn steps(records: &[Record], id: &str) -> Vec<Step> {
-    records.iter().filter(|record| record.query == query_key(id)).map(|record| record.step).collect()
+fn steps(records: &[Record], id: &str) -> Vec<EventKind> {
+    records.iter().filter(|record| record.query == query_key(id)).map(|record| record.kind).collect()
 }
 
 #[test]
@@ -57,17 +57,21 @@
     let steps = steps(&records, &id);
     let count = |step| steps.iter().filter(|other| **other == step).count();
     let per_part = [
-        Step::AttemptDecided,
-        Step::PartQueued,
-        Step::FirstByteWritten,
-        Step::LastByteWritten,
-        Step::AnswerRead,
+        EventKind::AttemptDecided,
+        EventKind::PartQueued,
+        EventKind::FirstByteWritten,
+        EventKind::LastByteWritten,
+        EventKind::AnswerRead,
     ];
     assert_eq!(per_part.map(count), [2; 5], "{steps:?}");
-    let per_query = [Step::RequestRead, Step::QueryAccepted, Step::ReplyDecided, Step::ReplyWritten];
+    let per_query =
+        [EventKind::RequestRead, EventKind::QueryAccepted, EventKind::ReplyDecided, EventKind::ReplyWritten];
     assert_eq!(per_query.map(count), [1; 4], "{steps:?}");
-    assert_eq!((steps.first(), steps.last()), (Some(&Step::RequestRead), Some(&Step::ReplyWritten)));
-    let timeline = timeline::render(&timeline::of_query(&records, query_key(&id)), query_key(&id));
+    assert_eq!(
+        (steps.first(), steps.last()),
+        (Some(&EventKind::RequestRead), Some(&EventKind::ReplyWritten))
+    );
+    let timeline = timeline::render(&timeline::records_for_query(&records, query_key(&id)), query_key(&id));
     assert!(
         timeline.contains("reply written  status 200") && timeline.contains("connection up"),
         "{timeline}"
@@ -91,11 +95,11 @@
     let steps = steps(&fixture.records(), &id);
     let count = |step| steps.iter().filter(|other| **other == step).count();
     assert_eq!(
-        [Step::ClientDisconnected, Step::AttemptCancelled, Step::CancelWritten].map(count),
+        [EventKind::ClientDisconnected, EventKind::AttemptCancelled, EventKind::CancelWritten].map(count),
         [1, 3, 3],
         "{steps:?}"
     );
-    assert_eq!(count(Step::ReplyWritten), 0);
+    assert_eq!(count(EventKind::ReplyWritten), 0);
 }
 
 #[test]
@@ -116,7 +120,7 @@
     eventually("the records at exit are written", || fixture.written("exit"));
     let records = fixture.records();
     for id in &ids {
-        assert_eq!(steps(&records, id).last(), Some(&Step::ReplyWritten), "{id}");
+        assert_eq!(steps(&records, id).last(), Some(&EventKind::ReplyWritten), "{id}");
     }
 }
 
--- a/crates/node/tests/inside/flight_recorder.rs
+++ b/crates/node/tests/inside/flight_recorder.rs
@@ -1,7 +1,7 @@
 //! The operator file that ships, and alarms while records are written periodically.
 
 use super::{RecorderSettings, RingWriter, ALARM_POLL_INTERVAL};
-use pinetrestle_recorder::{Record, Recorder, Step};
+use pinetrestle_recorder::{EventKind, Record, Recorder};
 use slog::Logger;
 use std::path::Path;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     let writer = Rc::new(RingWriter { settings, recorder: recorder.clone(), log });
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let run = tokio::task::spawn_local(writer.run(Rc::default()));
-        recorder.raise_alarm(1, Record::for_query(Step::InvariantViolated, 0));
+        recorder.raise_alarm(1, Record::for_query(EventKind::InvariantViolated, 0));
         sleep(5 * ALARM_POLL_INTERVAL).await;
         run.abort();
     });
--- a/crates/recorder/benches/note.rs
+++ b/crates/recorder/benches/note.rs
@@ -1,28 +1,38 @@
-//! What recording a step costs, enabled and disabled: `cargo bench -p pinetrestle-recorder`.
+//! Cost of recording the events of a part, with the recorder enabled and disabled.
+//!
+//! Run with `cargo bench -p pinetrestle-recorder`.
 
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
-use pinetrestle_recorder::{Record, Recorder, Step};
+use pinetrestle_recorder::{EventKind, Record, Recorder};
 use std::hint::black_box;
 
-/// The steps of one part on its ordinary path.
-const STEPS: [Step; 5] =
-    [Step::AttemptDecided, Step::PartQueued, Step::FirstByteWritten, Step::LastByteWritten, Step::AnswerRead];
+/// The events of a part that is sent and answered without a retry or an error.
+const EVENTS: [EventKind; 5] = [
+    EventKind::AttemptDecided,
+    EventKind::PartQueued,
+    EventKind::FirstByteWritten,
+    EventKind::LastByteWritten,
+    EventKind::AnswerRead,
+];
 
 fn record_part(recorder: &Recorder, id: &str) {
-    for step in STEPS {
-        recorder.record(|| Record::for_part(step, black_box(id)).on_connection(12).with_value(3));
+    for kind in EVENTS {
+        recorder.record(|| Record::for_part(kind, black_box(id)).on_connection(12).with_value(3));
     }
 }
 
 fn record(criterion: &mut Criterion) {
-    let mut group = criterion.benchmark_group("a part's five steps");
-    group.throughput(Throughput::Elements(STEPS.len() as u64));
-    let on = Recorder::new(65_536);
-    let off = Recorder::disabled();
-    let hashed = "a-query-of-another-form-of-id.17.phase2";
-    group.bench_function("on, hex id", |bencher| bencher.iter(|| record_part(&on, "9b1f03aa5c7e2d41.17")));
-    group.bench_function("on, other id", |bencher| bencher.iter(|| record_part(&on, hashed)));
-    group.bench_function("off", |bencher| bencher.iter(|| record_part(&off, "9b1f03aa5c7e2d41.17")));
+    let mut group = criterion.benchmark_group("five events of a part");
+    group.throughput(Throughput::Elements(EVENTS.len() as u64));
+    let enabled = Recorder::new(65_536);
+    let disabled = Recorder::disabled();
+    let hashed_id = "a-query-of-another-form-of-id.17.phase2";
+    group.bench_function("enabled, hex id", |bencher| {
+        bencher.iter(|| record_part(&enabled, "9b1f03aa5c7e2d41.17"))
+    });
+    group.bench_function("enabled, hashed id", |bencher| bencher.iter(|| record_part(&enabled, hashed_id)));
+    group
+        .bench_function("disabled", |bencher| bencher.iter(|| record_part(&disabled, "9b1f03aa5c7e2d41.17")));
     group.finish();
 }
 
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,12 +1,16 @@
-//! The flight recorder of a front node: what became of recent queries and parts, in a bounded ring.
+//! The flight recorder of a front node: a bounded ring buffer of events about recent queries and parts.
 //!
-//! A [`Recorder`] is a ring of records of [`RECORD_BYTES`] bytes each. It is allocated once, at its full size; a new
-//! record overwrites the oldest. Recording one costs a reading of the clock and one store; a disabled recorder costs
-//! one comparison.
+//! A query is split into parts, one per shard; each part is sent to a replica of its shard in an attempt. A
+//! [`Record`] is one event of a query, part or connection, and takes up [`RECORD_BYTES`] bytes. Queries of
+//! some classes have a second step: more parts, sent once the parts of the first step are answered.
 //!
-//! [`Recorder::slice`] copies a few records at a time out of the ring, so that writing it out needs no copy of the
-//! whole. [`log_lines`] encodes records as lines that can be written among the lines of a log and reads them back from
-//! there, and [`timeline`] prints the timeline of one query.
+//! A [`Recorder`] allocates its ring buffer once, at full size. When the buffer is full, a new record
+//! overwrites the oldest. Recording an event costs one clock reading and one store; with a disabled recorder
+//! it costs one comparison.
+//!
+//! [`Recorder::read_from`] copies a few records at a time, so that the ring buffer can be written out without
+//! copying it as a whole. [`log_lines`] encodes records as text lines that can be mixed with the lines of a
+//! log, and decodes them from such a log. [`timeline`] prints the timeline of one query.
 
 #![warn(missing_docs)]
 
@@ -15,5 +19,5 @@
 mod ring;
 pub mod timeline;
 
-pub use record::{part_key, query_key, PartKey, QueryKey, Record, Step, RECORD_BYTES};
-pub use ring::{Recorder, Slice};
+pub use record::{part_key, query_key, EventKind, PartKey, QueryKey, Record, RECORD_BYTES};
+pub use ring::{RecordBatch, Recorder};
--- a/crates/recorder/src/record.rs
+++ b/crates/recorder/src/record.rs
@@ -1,9 +1,10 @@
-//! One record of the flight recorder: its fields, its byte form, and the steps it can name.
+//! A record of the flight recorder: its fields, its binary encoding and the kinds of events.
 
-/// Bytes of a record in its written form.
+/// Size of an encoded record in bytes.
 pub const RECORD_BYTES: usize = 32;
 
-/// A query by its id: sixteen hex digits are their value, any other id is hashed.
+/// A 64-bit key that identifies a query: the value of a query id of 16 hex digits, and a hash of any other
+/// id.
 pub type QueryKey = u64;
 
 /// Offset basis of FNV-1a, 64 bits.
@@ -11,10 +12,10 @@
 /// Prime of FNV-1a, 64 bits.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Hex digits of an id that is its own key.
+/// Number of hex digits of a query id whose value is its key.
 const HEX_ID_DIGITS: usize = 16;
 
-/// The key of a query's id.
+/// Returns the key of a query id.
 pub fn query_key(id: &str) -> QueryKey {
     let is_hex_id = id.len() == HEX_ID_DIGITS && id.bytes().all(|byte| byte.is_ascii_hexdigit());
     match QueryKey::from_str_radix(id, 16) {
@@ -23,31 +24,32 @@
     }
 }
 
-/// FNV-1a, 64 bits: stable from one build to the next, which the standard library's hash is not.
+/// Computes the 64-bit FNV-1a hash. Unlike the standard library's hash, it is stable across builds, so that
+/// keys in written records stay valid.
 fn fnv_1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// The bit of [`Record::shard`] that marks a part of a second step.
-const SECOND_STEP: u32 = 1 << 31;
+/// The bit of [`Record::shard`] that is set for a part of the query's second step.
+const SECOND_STEP_BIT: u32 = 1 << 31;
 
-/// What a part's id on the wire ends with where the part is one of a second step.
+/// Suffix of the wire id of a part of the second step.
 const SECOND_STEP_SUFFIX: &str = ".phase2";
 
-/// A part by its id on the wire.
+/// A key that identifies a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartKey {
-    /// The key of the part's query.
+    /// The key of the query that the part belongs to.
     pub query: QueryKey,
-    /// The shard, in the form of [`Record::shard`]: the highest bit marks a part of a second step.
+    /// The shard number. The highest bit is set for a part of the second step, as in [`Record::shard`].
     pub shard: u32,
 }
 
-/// The key of a part's id on the wire (`QUERY.SHARD` or `QUERY.SHARD.phase2`); an id of another form is taken for a
-/// query's id, with shard 0.
+/// Returns the key of a part's wire id (`QUERY.SHARD` or `QUERY.SHARD.phase2`). Any other id is treated as a
+/// query id, with shard 0.
 pub fn part_key(id: &str) -> PartKey {
     let (first_step_id, second_step) = match id.strip_suffix(SECOND_STEP_SUFFIX) {
-        Some(first_step_id) => (first_step_id, SECOND_STEP),
+        Some(first_step_id) => (first_step_id, SECOND_STEP_BIT),
         None => (id, 0),
     };
     let query_and_shard =
@@ -58,40 +60,41 @@
     }
 }
 
-/// Declares [`Step`]: each variant with the number it is stored under, the label it is printed with, and its
-/// documentation. The numbers are a stored form: one that was used is never given to another step.
-macro_rules! steps {
+/// Declares [`EventKind`]. Each variant has the number that is stored for it, the label that is printed for
+/// it, and its documentation. The numbers are part of the storage format: a number that was ever used is not
+/// reassigned.
+macro_rules! event_kinds {
     ($($name:ident $number:literal $label:literal $about:literal,)*) => {
-        /// The step of a query, part or connection that a record is about.
+        /// The kind of event that a record describes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[repr(u8)]
-        pub enum Step {
+        pub enum EventKind {
             $(#[doc = $about] $name = $number,)*
         }
 
-        impl Step {
-            /// Every step.
-            pub const ALL: &'static [Step] = &[$(Step::$name),*];
+        impl EventKind {
+            /// All event kinds.
+            pub const ALL: &'static [EventKind] = &[$(EventKind::$name),*];
 
-            /// The step stored under this number, if one is.
-            pub fn from_number(number: u8) -> Option<Step> {
+            /// Returns the event kind that is stored as `number`, or `None` if there is none.
+            pub fn from_number(number: u8) -> Option<EventKind> {
                 match number {
-                    $($number => Some(Step::$name),)*
+                    $($number => Some(EventKind::$name),)*
                     _ => None,
                 }
             }
 
-            /// The label it is printed with.
+            /// Returns the label that is printed in a timeline.
             pub fn label(self) -> &'static str {
                 match self {
-                    $(Step::$name => $label,)*
+                    $(EventKind::$name => $label,)*
                 }
             }
         }
     };
 }
 
-steps! {
+event_kinds! {
     RequestRead 1 "request read"
         "A request was read completely; `value`: its age then, in microseconds.",
     QueryAccepted 2 "query accepted"
@@ -138,63 +141,65 @@
         "The process did not run for a while; `value`: microseconds.",
 }
 
-/// One step of one query, part or connection.
+/// An event of a query, part or connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// When, in microseconds from the recorder's start.
+    /// Time of the event in microseconds since the recorder was created.
     pub at_us: u64,
-    /// The query's key, or 0 where the step belongs to no query.
+    /// The key of the query, or 0 if the event belongs to no query.
     pub query: QueryKey,
-    /// The part's shard, or 0; the highest bit marks a part of a second step.
+    /// The shard number of the part, or 0 if the event belongs to no part. The highest bit is set for a part
+    /// of the second step.
     pub shard: u32,
-    /// The connection's number, or 0 where the step belongs to no connection.
+    /// The number of the connection, or 0 if the event belongs to no connection.
     pub connection: u32,
-    /// A number whose meaning the [`Step`] documents.
+    /// A number whose meaning depends on the event kind and is documented at each [`EventKind`].
     pub value: u32,
-    /// The step.
-    pub step: Step,
-    /// A small code whose meaning the [`Step`] documents.
+    /// The kind of event.
+    pub kind: EventKind,
+    /// A code whose meaning depends on the event kind and is documented at each [`EventKind`].
     pub detail: u8,
 }
 
 impl Record {
-    /// A step of a query; the recorder sets the time.
-    pub fn for_query(step: Step, query: QueryKey) -> Record {
-        Record { at_us: 0, query, shard: 0, connection: 0, value: 0, step, detail: 0 }
+    /// Creates a record of an event of a query. The time is 0 until
+    /// [`Recorder::record`](crate::Recorder::record) sets it.
+    pub fn for_query(kind: EventKind, query: QueryKey) -> Record {
+        Record { at_us: 0, query, shard: 0, connection: 0, value: 0, kind, detail: 0 }
     }
 
-    /// A step of a part, by the part's id on the wire.
-    pub fn for_part(step: Step, id: &str) -> Record {
+    /// Creates a record of an event of a part, which is given by its wire id.
+    pub fn for_part(kind: EventKind, id: &str) -> Record {
         let part = part_key(id);
-        Record { shard: part.shard, ..Record::for_query(step, part.query) }
+        Record { shard: part.shard, ..Record::for_query(kind, part.query) }
     }
 
-    /// The same record with a connection's number, of which the lower 32 bits are stored.
+    /// Sets the number of the connection. Only the lower 32 bits are stored.
     pub fn on_connection(self, connection: u64) -> Record {
         Record { connection: connection as u32, ..self }
     }
 
-    /// The same record with a value; one over `u32::MAX` is stored as `u32::MAX`.
+    /// Sets the value. A value over `u32::MAX` is stored as `u32::MAX`.
     pub fn with_value(self, value: u64) -> Record {
         Record { value: u32::try_from(value).unwrap_or(u32::MAX), ..self }
     }
 
-    /// The same record with a detail.
+    /// Sets the detail.
     pub fn with_detail(self, detail: u8) -> Record {
         Record { detail, ..self }
     }
 
-    /// The shard's number, without the mark of a second step.
+    /// Returns the shard number without the bit for the second step.
     pub fn shard_number(&self) -> u32 {
-        self.shard & !SECOND_STEP
+        self.shard & !SECOND_STEP_BIT
     }
 
-    /// Whether the part is one of a second step.
+    /// Returns whether the part belongs to the query's second step.
     pub fn is_second_step(&self) -> bool {
-        self.shard & SECOND_STEP != 0
+        self.shard & SECOND_STEP_BIT != 0
     }
 
-    /// The written form: the fields in order, big-endian, and two unused bytes.
+    /// Encodes the record: the fields in order of declaration, big-endian, followed by two unused bytes.
     pub fn to_bytes(&self) -> [u8; RECORD_BYTES] {
         let mut bytes = [0; RECORD_BYTES];
         bytes[..8].copy_from_slice(&self.at_us.to_be_bytes());
@@ -202,12 +207,12 @@
         bytes[16..20].copy_from_slice(&self.shard.to_be_bytes());
         bytes[20..24].copy_from_slice(&self.connection.to_be_bytes());
         bytes[24..28].copy_from_slice(&self.value.to_be_bytes());
-        bytes[28] = self.step as u8;
+        bytes[28] = self.kind as u8;
         bytes[29] = self.detail;
         bytes
     }
 
-    /// The record of a written form; none where the step's number is not known here.
+    /// Decodes a record. Returns `None` if the event kind is unknown to this version.
     pub fn from_bytes(bytes: &[u8; RECORD_BYTES]) -> Option<Record> {
         let u64_at = |from: usize| bytes[from..].first_chunk::<8>().map(|word| u64::from_be_bytes(*word));
         let u32_at = |from: usize| bytes[from..].first_chunk::<4>().map(|word| u32::from_be_bytes(*word));
@@ -217,7 +222,7 @@
             shard: u32_at(16)?,
             connection: u32_at(20)?,
             value: u32_at(24)?,
-            step: Step::from_number(bytes[28])?,
+            kind: EventKind::from_number(bytes[28])?,
             detail: bytes[29],
         })
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,64 +1,69 @@
-//! What can go wrong in the store.
+//! The error type of the store.
 
 use crate::record::MAX_RECORD_BYTES;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// An error of the store. [`io::Error`] converts from it and keeps its kind, text and source.
+/// An error of the store. The conversion into [`io::Error`] keeps the error kind, the message and the source.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A call of the file system failed; the source has the system's own error number.
+    /// A file-system call failed. The source carries the OS error number.
     #[error("{path}: {source}", path = .path.display())]
     FileSystem {
-        /// The file or directory of the call.
+        /// The file or directory that the call was made on.
         path: PathBuf,
-        /// The system's error.
+        /// The error that the operating system returned.
         source: io::Error,
     },
-    /// A payload is over [`MAX_RECORD_BYTES`].
-    #[error("a record of {bytes} bytes is over the {MAX_RECORD_BYTES} allowed")]
+    /// A payload is larger than [`MAX_RECORD_BYTES`].
+    #[error("record payload of {bytes} bytes exceeds the limit of {MAX_RECORD_BYTES} bytes")]
     RecordTooLarge {
-        /// The payload's length in bytes.
+        /// The length of the payload in bytes.
         bytes: usize,
     },
-    /// The log's file does not have the records that were written to it. It is left as it is.
-    #[error("{path}: {readable} bytes hold complete records, {written} were written; restore it from a peer",
-        path = .path.display())]
-    LogDamaged {
-        /// The log's file.
+    /// The complete records in the log file differ in total size or number from those that were written. The
+    /// file is not modified.
+    #[error(
+        "{path}: complete records take up {readable} bytes, but {written} bytes were written; \
+         restore the log from a peer",
+        path = .path.display()
+    )]
+    LogCorrupt {
+        /// The log file.
         path: PathBuf,
-        /// Bytes of the complete records at the front of the file.
+        /// Size in bytes of the complete records at the start of the file.
         readable: u64,
-        /// Bytes of the records that were written.
+        /// Size in bytes of the records that were written.
         written: u64,
     },
-    /// A rename failed and its result could not be read, so that the open file may no longer be the log.
-    #[error("{path}: a rename failed and its result can't be read; open the log anew", path = .path.display())]
-    LogReplaced {
-        /// The log's file.
+    /// A rename over the log failed, and the log could not be read to find out whether the rename took
+    /// effect. The open file may no longer be the log.
+    #[error("{path}: unknown whether a failed rename replaced the log; reopen it", path = .path.display())]
+    RenameOutcomeUnknown {
+        /// The log file.
         path: PathBuf,
     },
-    /// The snapshot does not pass its checksum or is not one complete record.
-    #[error("{path}: fails its checksum; restore it from a peer", path = .path.display())]
-    SnapshotDamaged {
-        /// The snapshot's file.
+    /// The snapshot file fails its checksum or is not exactly one complete record.
+    #[error("{path}: fails its checksum; restore the snapshot from a peer", path = .path.display())]
+    SnapshotCorrupt {
+        /// The snapshot file.
         path: PathBuf,
     },
 }
 
 impl StoreError {
-    /// The error of a call about `path`.
+    /// Wraps the error of a file-system call on `path`.
     pub(crate) fn file_system(path: &Path, source: io::Error) -> StoreError {
         StoreError::FileSystem { path: path.to_owned(), source }
     }
 
-    /// The kind of [`io::Error`] that it converts to.
+    /// Returns the kind of the [`io::Error`] that this error converts into.
     pub fn kind(&self) -> io::ErrorKind {
         match self {
             StoreError::FileSystem { source, .. } => source.kind(),
             StoreError::RecordTooLarge { .. } => io::ErrorKind::InvalidInput,
-            StoreError::LogDamaged { .. } | StoreError::SnapshotDamaged { .. } => io::ErrorKind::InvalidData,
-            StoreError::LogReplaced { .. } => io::ErrorKind::Other,
+            StoreError::LogCorrupt { .. } | StoreError::SnapshotCorrupt { .. } => io::ErrorKind::InvalidData,
+            StoreError::RenameOutcomeUnknown { .. } => io::ErrorKind::Other,
         }
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,36 +1,38 @@
-//! Crash-safe storage for the fleet's replicated log and snapshots.
+//! Crash-safe storage for a replicated log and its snapshot.
 //!
-//! Two files in one directory:
+//! A store is a directory with two files:
 //!
-//! - `log`: records appended one after another. Each is a header of 16 bytes (length of the payload, `u32`; sequence
-//!   number, `u64`; CRC-32 (IEEE) of sequence number and payload, `u32`; all little-endian) and the payload. Sequence
-//!   numbers follow each other without a gap. A record counts as **acknowledged** once [`Log::sync`] has returned
-//!   `Ok` after it.
-//! - `snapshot`: one record of the same form, replaced atomically: written to `snapshot.tmp`, synced, renamed over the
-//!   old one, and the directory synced.
+//! - `log`: records in append order. A record is a header of 16 bytes followed by the payload. The header
+//!   fields are little-endian: the payload length in bytes (`u32`), the sequence number (`u64`), and the
+//!   CRC-32 (IEEE) of sequence number and payload (`u32`). Sequence numbers are consecutive. A record is
+//!   **acknowledged** once a [`Log::sync`] that follows its append has returned `Ok`.
+//! - `snapshot`: a single record in the same format. It is replaced atomically: the new snapshot is written
+//!   to `snapshot.tmp`, synced and renamed over the old one, then the directory is synced.
 //!
-//! [`Log::open`] reads the log from the start up to the first record that is truncated, fails its checksum, claims
-//! more than [`MAX_RECORD_BYTES`] or breaks the sequence; it truncates the file there and syncs it. A crash at any byte
-//! therefore loses no acknowledged record and leaves no partial one to be read (`tests/truncation.rs` truncates at every
+//! [`Log::open`] reads the log up to the first record that is incomplete, fails its checksum, has a payload
+//! length over [`MAX_RECORD_BYTES`], or has a sequence number other than the next one. It truncates the file
+//! at that record and syncs it. A crash during a write, after any byte, therefore loses no acknowledged
+//! record, and an incomplete record is never returned (`tests/truncation.rs` truncates the log at every
 //! byte).
 //!
-//! What is assumed of the disk: a synced write survives power loss, and a rename after which the directory was synced
-//! is durable; one without takes effect completely or not at all. A disk that lies about `fsync` is out of scope; a
-//! flipped bit in the tail is caught by the checksum and handled as a truncation there.
+//! The store relies on two guarantees of the disk and the file system: synced data survives a power failure,
+//! and a rename is atomic, and durable once the directory has been synced. A disk that reports a sync without
+//! writing the data is not supported. A bit flip near the end of the log fails the checksum and is handled
+//! like an incomplete record: the log is truncated there.
 //!
-//! All calls of the file system go through [`Disk`], so that tests can make any one of them fail. Errors are
-//! [`StoreError`]s.
+//! All file-system calls go through the [`FileSystem`] trait, so that tests can make each of them fail.
+//! Functions that can fail return a [`StoreError`].
 
 #![warn(missing_docs)]
 
-mod disk;
 mod error;
+mod file_system;
 mod log;
 mod record;
 mod snapshot;
 
-pub use disk::{Disk, DiskFile, SystemDisk};
 pub use error::StoreError;
+pub use file_system::{AppendFile, FileSystem, OsFileSystem};
 pub use log::{Log, OpenedLog};
 pub use record::{Record, HEADER_BYTES, MAX_RECORD_BYTES};
-pub use snapshot::{read_snapshot, read_snapshot_on, write_snapshot, write_snapshot_on, Snapshot};
+pub use snapshot::{read_snapshot, read_snapshot_with_fs, write_snapshot, write_snapshot_with_fs, Snapshot};
