--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -1,33 +1,36 @@
-//! The fence before a resource that is used under leases: it rejects tokens lower than one it has admitted.
+//! Fencing for a resource that lease holders act on: actions whose token is lower than one already admitted
+//! are rejected.
 
 use crate::types::{Task, Token, MAX_TASKS};
 use std::collections::BTreeMap;
 
-/// An action rejected for its token.
+/// The error for an action that is rejected because of its fencing token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the token is stale: an action under token {} was admitted before", .highest.0)]
+#[error("stale fencing token: an action with token {} has already been admitted", .highest.0)]
 pub struct StaleToken {
-    /// The highest token that the fence has admitted for the task.
+    /// The highest token that the fence has admitted for the task, or `u64::MAX` if the fence holds no more
+    /// tasks.
     pub highest: Token,
 }
 
-/// The highest token admitted for each task, at most [`MAX_TASKS`] tasks.
+/// Keeps the highest token admitted for each task, for at most [`MAX_TASKS`] tasks, and rejects lower tokens.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest: BTreeMap<Task, Token>,
 }
 
 impl Fence {
-    /// A fence that has admitted nothing.
+    /// Creates a fence that has admitted no token.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Admits an action under `token` on `task`, unless an action under a higher token was admitted before.
+    /// Admits an action on `task` with the fencing token `token`, unless an action with a higher token was
+    /// admitted before.
     ///
     /// # Errors
-    /// [`StaleToken`] with the highest token admitted. A task beyond [`MAX_TASKS`] is rejected with the highest
-    /// possible token.
+    /// [`StaleToken`] with the highest token admitted for `task`, or with `u64::MAX` if `task` is new and the
+    /// fence already holds [`MAX_TASKS`] tasks.
     pub fn admit(&mut self, task: &Task, token: Token) -> Result<(), StaleToken> {
         if let Some(highest) = self.highest.get_mut(task) {
             if token < *highest {
@@ -43,7 +46,7 @@
         Ok(())
     }
 
-    /// The highest token admitted for `task`, if any.
+    /// Returns the highest token admitted for `task`, or `None` if no action on it was admitted.
     pub fn highest_token(&self, task: &Task) -> Option<Token> {
         self.highest.get(task).copied()
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,34 +1,38 @@
-//! The decisions of a fleet of front nodes: who is a member, which member holds the lease of which fleet-wide task, and
+//! Leases of fleet-wide tasks: which member of a fleet of front nodes holds the lease of which task, and
 //! under which fencing token.
 //!
-//! Nothing here reads a clock or touches a socket or a file. Time comes in as milliseconds of a **monotonic** clock of
-//! the calling process (never a wall clock), and only that process compares it: no time stamp passes from one member
-//! to another. Each part takes events and returns decisions:
+//! The crate is sans-I/O: nothing here reads a clock or touches a socket or a file. Times are milliseconds of
+//! a **monotonic** clock (never a wall clock) of the process that calls the crate. Time stamps are only
+//! compared within that process and never sent to another member. Each type takes events as input and returns
+//! decisions:
 //!
-//! | part | runs on | takes | decides |
+//! | type | runs on | input | decides |
 //! | --- | --- | --- | --- |
-//! | [`LeaseTable`] | every member, applying the replicated log in order | [`Command`]s with their log index | who holds each task's lease, its token; the outcome of each request |
-//! | [`ExpiryMonitor`] | the leader of the replicated log | what was applied, its own ticks | when a lease may be expired for want of a renewal ([`Command::Expire`]) |
-//! | [`Holder`] | a member that wants a task's lease | whether it wants it, outcomes, ticks | when to request or renew it, and whether the member may act now |
-//! | [`Fence`] | the resource that the holder acts on | each action's token | whether to admit it: never a token lower than one admitted before |
+//! | [`LeaseTable`] | every member, which applies the replicated log in order | [`Command`]s with their log index | who holds the lease of each task, and its token; the outcome of each request |
+//! | [`ExpiryMonitor`] | the leader of the replicated log | the applied lease table, time | when to propose that a lease which was not renewed expires ([`Command::Expire`]) |
+//! | [`LeaseHolder`] | a member that may hold the lease of a task | whether the member wants the lease, outcomes of its requests, time | when to request, renew or release the lease, and whether the member may act under it now |
+//! | [`Fence`] | the resource that lease holders act on | the token of each action | whether to admit the action: never with a token lower than one admitted before |
 //!
-//! [`RetryTimer`] paces proposals that are made until they are applied.
+//! [`RetryTimer`] limits how often a log entry is proposed again until it is applied.
 //!
-//! # Why two holders never act at once
+//! # Why two lease holders never act at the same time
 //!
-//! 1. The log orders all commands; [`LeaseTable`] grants a task's lease only while there is none, and a lease's token
-//!    is the log index of its grant, so the tokens of one task only grow.
-//! 2. A lease lasts until it is released or the leader proposes [`Command::Expire`]. [`ExpiryMonitor`] does so only
-//!    after its own clock shows `ttl × (1 + drift) + margin` without a renewal, counted from the later of the
-//!    renewal's application and its own election. The holder counts its `ttl` from the moment it **sent** the
-//!    request, before either, so it stops acting before a leader may expire the lease, as long as no clock runs
-//!    faster than `1 + drift` times another ([`MAX_CLOCK_DRIFT_PER_MILLE`]).
-//! 3. Should that assumption fail (a clock that runs fast, a holder paused between its check and its action), the
-//!    [`Fence`] rejects every action whose token is lower than one it has admitted. Safety rests on the fence; the
-//!    clocks only make rejections rare.
+//! 1. The log orders all commands. [`LeaseTable`] grants a lease of a task to a member only if no other
+//!    member holds one. The token of a lease is the log index of its grant, so each lease of a task has a
+//!    higher token than the leases of that task before it.
+//! 2. A lease lasts until it is released, or until the leader proposes [`Command::Expire`] and the command is
+//!    applied. [`ExpiryMonitor`] proposes it only after `ttl × (1 + drift) + margin` without a renewal on the
+//!    leader's clock, counted from when the leader applied the grant or the last renewal, or from its
+//!    election if that was later. The holder counts `ttl` from when it **sent** the request, which is earlier
+//!    than both. So it stops acting before a leader may expire the lease, as long as no clock runs faster
+//!    than `1 + drift` times another ([`MAX_CLOCK_DRIFT_PER_MILLE`]).
+//! 3. If that assumption fails (a clock runs too fast, or the holder is paused between its check and its
+//!    action), the [`Fence`] still rejects every action whose token is lower than one that it has admitted.
+//!    Safety depends on the fence only; counting the time to live conservatively makes such rejections rare.
 //!
-//! A wall clock that jumps changes nothing here, since none is read. Fencing tokens and the need for them: M. Kleppmann,
-//! "How to do distributed locking", 2016; leases: C. Gray and D. Cheriton, SOSP 1989.
+//! A wall clock that jumps has no effect, because no wall clock is read. On fencing tokens and why they are
+//! needed, see M. Kleppmann, "How to do distributed locking", 2016; on leases, C. Gray and D. Cheriton, SOSP
+//! 1989.
 
 #![warn(missing_docs)]
 
@@ -41,7 +45,7 @@
 
 pub use expiry::ExpiryMonitor;
 pub use fence::{Fence, StaleToken};
-pub use holder::{Holder, HolderState, PendingRequest};
+pub use holder::{LeaseHolder, LeaseHolderState, PendingRequest};
 pub use retry_timer::{RetryTimer, RETRY_INTERVAL_MS};
 pub use table::LeaseTable;
 pub use types::{
--- a/crates/fleet/src/retry_timer.rs
+++ b/crates/fleet/src/retry_timer.rs
@@ -1,16 +1,22 @@
-//! When to propose the same entry again: a proposal may be lost, and one made on each tick would flood the log.
+//! A timer that limits how often the same log entry is proposed: a proposal may be lost and has to be
+//! repeated, but repeating it on every tick would flood the log.
 
-/// Milliseconds between two attempts to propose the same entry.
+/// Milliseconds between two proposals of the same log entry.
 pub const RETRY_INTERVAL_MS: u64 = 250;
 
-/// The time of the last attempt, in milliseconds of the caller's monotonic clock; `None` before the first.
+/// Limits the proposals of one log entry to one every [`RETRY_INTERVAL_MS`].
+///
+/// Holds the time of the last proposal in milliseconds of the caller's monotonic clock, or `None` before the
+/// first.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct RetryTimer(Option<u64>);
 
 impl RetryTimer {
-    /// Whether an attempt is due at `now_ms`: the first one at once, each further one [`RETRY_INTERVAL_MS`] after the
-    /// last. An attempt that is due counts as made.
-    pub fn due(&mut self, now_ms: u64) -> bool {
+    /// Returns whether the entry is to be proposed at `now_ms`, and if so restarts the timer.
+    ///
+    /// The first call returns `true`; later ones do so once [`RETRY_INTERVAL_MS`] have passed since the last
+    /// `true`.
+    pub fn fire_if_due(&mut self, now_ms: u64) -> bool {
         let due = self.0.is_none_or(|last_ms| now_ms >= last_ms + RETRY_INTERVAL_MS);
         if due {
             self.0 = Some(now_ms);
@@ -18,8 +24,8 @@
         due
     }
 
-    /// Whether an attempt was made at all.
-    pub fn attempted(&self) -> bool {
+    /// Returns whether [`RetryTimer::fire_if_due`] has returned `true` before.
+    pub fn has_fired(&self) -> bool {
         self.0.is_some()
     }
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -1,64 +1,71 @@
-//! The replicated lease table: every member applies the same commands in the log's order and so has the same table.
+//! The replicated lease table. Every member applies the same commands in log order and therefore has the same
+//! table.
 
 use crate::types::{Command, Lease, MemberId, Outcome, Refusal, RequestId, Task, Token};
 use crate::types::{MAX_MEMBERS, MAX_TASKS, TTL_RANGE_MS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A member's last request for a task and its outcome. Part of the snapshot: the order of the fields is its form.
+/// The last request of a member for a task, with its outcome.
+///
+/// Stored in snapshots with postcard: the order and types of the fields are the format.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct LastRequest {
     id: RequestId,
     outcome: Outcome,
 }
 
-/// The lease of each task and each member's last outcome. Serialized as a whole in a snapshot: the order and types of
-/// the fields are its form.
+/// The lease of each task, and the outcome of each member's last request for each task.
+///
+/// Stored in snapshots with postcard: the order and types of the fields are the format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
-    /// Every task ever requested (at most [`MAX_TASKS`]), with its lease if there is one.
+    /// Every task for which a lease was ever requested, at most [`MAX_TASKS`], with its current lease if
+    /// there is one.
     tasks: BTreeMap<Task, Option<Lease>>,
-    /// Each member's last request for each task (at most [`MAX_MEMBERS`] members of [`MAX_TASKS`] tasks). A member
-    /// numbers its requests for each task apart.
+    /// Each member's last request for each task, for at most [`MAX_MEMBERS`] members and [`MAX_TASKS`] tasks.
+    /// Request ids count separately for each task.
     last_requests: BTreeMap<(MemberId, Task), LastRequest>,
-    /// The log index of the last command applied.
-    applied: u64,
+    /// The log index of the last command applied; 0 before the first.
+    applied_index: u64,
 }
 
 impl LeaseTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The lease of `task`, if there is one.
+    /// Returns the current lease of `task`, if there is one.
     pub fn lease(&self, task: &Task) -> Option<&Lease> {
         self.tasks.get(task).and_then(Option::as_ref)
     }
 
-    /// Every task that has a lease, in the order of their names.
+    /// Iterates over all tasks that have a lease, with their leases, in the order of the task names.
     pub fn leases(&self) -> impl Iterator<Item = (&Task, &Lease)> {
         self.tasks.iter().filter_map(|(task, lease)| lease.as_ref().map(|lease| (task, lease)))
     }
 
-    /// The id of the last request of `member` for `task` that was applied: a member that restarts goes on above it.
+    /// Returns the id of the last applied request of `member` for `task`. A member that restarts has to use
+    /// higher ids.
     pub fn last_request(&self, member: MemberId, task: &Task) -> Option<RequestId> {
         self.last_requests.get(&(member, task.clone())).map(|last| last.id)
     }
 
-    /// The log index of the last command applied.
-    pub fn applied(&self) -> u64 {
-        self.applied
+    /// Returns the log index of the last command applied, or 0 before the first.
+    pub fn applied_index(&self) -> u64 {
+        self.applied_index
     }
 
-    /// Applies the command at log `index`, which is above every index applied before, and returns its outcome.
+    /// Applies the command at log index `index` and returns its outcome. `index` has to be higher than every
+    /// index applied before.
     pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
-        debug_assert!(index > self.applied, "index {index} applied after {}", self.applied);
-        self.applied = index;
+        debug_assert!(index > self.applied_index, "index {index} applied after {}", self.applied_index);
+        self.applied_index = index;
         match command {
-            Command::Acquire { task, member, request, ttl_ms, holding } => {
+            Command::Acquire { task, member, request, ttl_ms, held_token } => {
                 self.apply_once(*member, task, *request, |table| {
-                    table.acquire(index, task, *member, *ttl_ms, *holding)
+                    table.acquire(index, task, *member, *ttl_ms, *held_token)
                 })
             }
             Command::Release { task, member, request, token } => {
@@ -68,8 +75,8 @@
         }
     }
 
-    /// Applies a request unless it was applied before: a copy of the last one gets the same outcome, an older one is
-    /// refused.
+    /// Applies a member's request at most once. A copy of the member's last request gets the outcome of that
+    /// request; a request with a lower id is refused.
     fn apply_once(
         &mut self,
         member: MemberId,
@@ -80,29 +87,30 @@
         let key = (member, task.clone());
         match self.last_requests.get(&key) {
             Some(last) if last.id == id => return last.outcome.clone(),
-            Some(last) if last.id > id => return Outcome::Refused(Refusal::OldRequest),
-            None if !self.knows(member) && self.member_count() >= MAX_MEMBERS => {
+            Some(last) if last.id > id => return Outcome::Refused(Refusal::StaleRequest),
+            None if !self.has_request_of(member) && self.member_count() >= MAX_MEMBERS => {
                 return Outcome::Refused(Refusal::TooManyMembers);
             }
             _ => {}
         }
         let outcome = apply(self);
-        // Requests for tasks that the table does not have are not kept: what is kept stays within members times tasks.
+        // Requests for tasks that are not in the table are not stored, so that at most MAX_MEMBERS *
+        // MAX_TASKS requests are.
         if self.tasks.contains_key(task) {
             self.last_requests.insert(key, LastRequest { id, outcome: outcome.clone() });
         }
         outcome
     }
 
-    /// Whether a request of the member is kept.
-    fn knows(&self, member: MemberId) -> bool {
-        self.last_requests.keys().any(|(known, _)| *known == member)
+    /// Returns whether the table stores a request of `member`.
+    fn has_request_of(&self, member: MemberId) -> bool {
+        self.last_requests.keys().any(|(other, _)| *other == member)
     }
 
-    /// The number of members that have a request kept.
+    /// Returns the number of members of which the table stores a request.
     fn member_count(&self) -> usize {
         let mut previous = None;
-        // The keys of one member follow each other.
+        // The map is ordered by member first, so all keys of one member are adjacent.
         self.last_requests.keys().filter(|(member, _)| previous.replace(*member) != Some(*member)).count()
     }
 
@@ -112,20 +120,20 @@
         task: &Task,
         member: MemberId,
         ttl_ms: u64,
-        holding: Option<Token>,
+        held_token: Option<Token>,
     ) -> Outcome {
         if !TTL_RANGE_MS.contains(&ttl_ms) {
-            return Outcome::Refused(Refusal::BadTtl);
+            return Outcome::Refused(Refusal::InvalidTtl);
         }
         if !Task::is_valid_name(&task.0) {
-            return Outcome::Refused(Refusal::BadTask);
+            return Outcome::Refused(Refusal::InvalidTaskName);
         }
         if !self.tasks.contains_key(task) && self.tasks.len() >= MAX_TASKS {
             return Outcome::Refused(Refusal::TooManyTasks);
         }
-        let slot = self.tasks.entry(task.clone()).or_default();
-        match slot {
-            Some(lease) if lease.holder == member && holding == Some(lease.token) => {
+        let current = self.tasks.entry(task.clone()).or_default();
+        match current {
+            Some(lease) if lease.holder == member && held_token == Some(lease.token) => {
                 lease.renewals += 1;
                 lease.ttl_ms = ttl_ms;
                 Outcome::Renewed(lease.token)
@@ -133,11 +141,12 @@
             Some(lease) if lease.holder != member => {
                 Outcome::Busy { holder: lease.holder, token: lease.token }
             }
-            // Free, or held by this member under a token that it does not name (it restarted): a new lease under a new
-            // token, so that the fence rejects what the earlier incarnation still sends.
+            // No lease, or a lease that this member holds but whose token it did not send because it has
+            // restarted. Grant a new lease with a new token, so that the fence rejects late actions of the
+            // earlier incarnation.
             _ => {
                 let token = Token(index);
-                *slot = Some(Lease { holder: member, token, ttl_ms, renewals: 0 });
+                *current = Some(Lease { holder: member, token, ttl_ms, renewals: 0 });
                 Outcome::Granted(token)
             }
         }
@@ -155,16 +164,16 @@
         if self.end_lease_if(task, |lease| lease.token == token && lease.renewals == renewals) {
             Outcome::Expired
         } else {
-            Outcome::Refused(Refusal::Stale)
+            Outcome::Refused(Refusal::StaleExpiry)
         }
     }
 
-    /// Ends the lease of `task` if there is one and it matches; whether it did.
+    /// Ends the lease of `task` if there is one and `matches` accepts it. Returns whether a lease was ended.
     fn end_lease_if(&mut self, task: &Task, matches: impl FnOnce(&Lease) -> bool) -> bool {
-        let Some(slot) = self.tasks.get_mut(task) else { return false };
-        let ends = slot.as_ref().is_some_and(matches);
+        let Some(current) = self.tasks.get_mut(task) else { return false };
+        let ends = current.as_ref().is_some_and(matches);
         if ends {
-            *slot = None;
+            *current = None;
         }
         ends
     }
--- a/crates/fleet/tests/holder.rs
+++ b/crates/fleet/tests/holder.rs
@@ -1,9 +1,9 @@
 //! One holder, step by step: its lease counts from the moment its request was sent, however late the outcome.
 
-use pinetrestle_fleet::{Command, Holder, HolderState, MemberId, Outcome, RequestId, Task, Token};
+use pinetrestle_fleet::{Command, LeaseHolder, LeaseHolderState, MemberId, Outcome, RequestId, Task, Token};
 
-fn holder() -> Holder {
-    let mut holder = Holder::new(Task("drain".into()), MemberId(4), 1_000, Some(RequestId(41)));
+fn holder() -> LeaseHolder {
+    let mut holder = LeaseHolder::new(Task("drain".into()), MemberId(4), 1_000, Some(RequestId(41)));
     holder.set_wanted(true);
     holder
 }
@@ -11,14 +11,14 @@
 #[test]
 fn a_lease_counts_from_its_request_not_from_its_outcome() {
     let mut holder = holder();
-    let Some(Command::Acquire { request, holding: None, .. }) = holder.poll(10_000) else {
+    let Some(Command::Acquire { request, held_token: None, .. }) = holder.poll(10_000) else {
         panic!("no request")
     };
     assert_eq!(request, RequestId(42), "a restarted member goes on above the table's last id");
     holder.handle_outcome(10_900, request, &Outcome::Granted(Token(7)));
     assert_eq!(holder.valid_token(10_999), Some(Token(7)));
     assert_eq!(holder.valid_token(11_000), None, "acted past the request's time plus the lease");
-    assert!(matches!(holder.state(), HolderState::Idle { .. }));
+    assert!(matches!(holder.state(), LeaseHolderState::Idle { .. }));
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let Some(Command::Acquire { request, .. }) = holder.poll(0) else { panic!() };
     holder.handle_outcome(5, request, &Outcome::Granted(Token(9)));
     assert_eq!(holder.poll(300), None);
-    let Some(Command::Acquire { request: renewal, holding: Some(Token(9)), .. }) = holder.poll(340) else {
+    let Some(Command::Acquire { request: renewal, held_token: Some(Token(9)), .. }) = holder.poll(340) else {
         panic!()
     };
     holder.handle_outcome(350, renewal, &Outcome::Renewed(Token(9)));
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -7,7 +7,7 @@
 //! The second is shown to fail when the sink admits actions without the fence.
 
 use pinetrestle_fleet::{
-    Command, ExpiryMonitor, Fence, Holder, LeaseTable, MemberId, Outcome, RequestId, Task, Token,
+    Command, ExpiryMonitor, Fence, LeaseHolder, LeaseTable, MemberId, Outcome, RequestId, Task, Token,
 };
 use stateright::{Checker, Model, Property};
 
@@ -30,7 +30,7 @@
     table: LeaseTable,
     index: u64,
     expiry: ExpiryMonitor,
-    members: [Holder; 2],
+    members: [LeaseHolder; 2],
     incarnations: [u64; 2],
     in_flight: Vec<Message>,
     lost: u8,
@@ -64,8 +64,9 @@
     Task("t".into())
 }
 
-fn holder(member: usize, incarnation: u64) -> Holder {
-    let mut holder = Holder::new(task(), MemberId(member as u64), TTL_MS, Some(RequestId(incarnation << 32)));
+fn holder(member: usize, incarnation: u64) -> LeaseHolder {
+    let mut holder =
+        LeaseHolder::new(task(), MemberId(member as u64), TTL_MS, Some(RequestId(incarnation << 32)));
     holder.set_wanted(true);
     holder
 }
@@ -89,7 +90,7 @@
         let outcome = table.apply(1, &acquire);
         members[0].handle_outcome(0, request, &outcome);
         let mut expiry = ExpiryMonitor::new();
-        expiry.elected(0, &table);
+        expiry.become_leader(0, &table);
         vec![State {
             now: 0,
             table,
@@ -177,7 +178,7 @@
             Action::Elect => {
                 state.elections += 1;
                 state.expiry.step_down();
-                state.expiry.elected(now, &state.table);
+                state.expiry.become_leader(now, &state.table);
             }
             Action::Deliver(k) => match state.in_flight.remove(k) {
                 Message::Log(command) => {
--- a/crates/fleet/tests/simulation.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -3,7 +3,7 @@
 //! than a lease. Checked at every millisecond: at most one member may act; the fence admits no stale token.
 
 use pinetrestle_fleet::{
-    Command, ExpiryMonitor, Fence, Holder, LeaseTable, MemberId, Outcome, RequestId, Task, Token,
+    Command, ExpiryMonitor, Fence, LeaseHolder, LeaseTable, MemberId, Outcome, RequestId, Task, Token,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -49,7 +49,7 @@
 }
 
 struct Member {
-    holder: Holder,
+    holder: LeaseHolder,
     /// The local clock at real time 0.
     offset: u64,
     /// The local clock's rate in millionths of real time.
@@ -158,7 +158,7 @@
     fn elect(&mut self, leader: usize) {
         self.leader = leader;
         let local = self.members[leader].local_time(self.now);
-        self.expiry.elected(local, &self.table);
+        self.expiry.become_leader(local, &self.table);
     }
 
     /// Stalls a member now and then, for up to three leases.
@@ -297,7 +297,7 @@
 }
 
 fn new_member(random: &mut StdRng, member: usize, task: &Task, clocks: Clocks) -> Member {
-    let mut holder = Holder::new(task.clone(), MemberId(member as u64), TTL, None);
+    let mut holder = LeaseHolder::new(task.clone(), MemberId(member as u64), TTL, None);
     holder.set_wanted(true);
     let rate_ppm = match clocks {
         Clocks::Spread(spread) | Clocks::Jumps(spread) => {
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -48,9 +48,9 @@
             let counter = next_request.entry(m).or_insert(1);
             let command = match kind {
                 0 => {
-                    let holding = if names_token { table.lease(&task(t)).map(|l| l.token) } else { None };
+                    let held_token = if names_token { table.lease(&task(t)).map(|l| l.token) } else { None };
                     *counter += 1;
-                    Command::Acquire { task: task(t), member, request: RequestId(*counter), ttl_ms: 1_000, holding }
+                    Command::Acquire { task: task(t), member, request: RequestId(*counter), ttl_ms: 1_000, held_token }
                 }
                 1 => {
                     let token = table.lease(&task(t)).map_or(Token(0), |l| l.token);
@@ -72,7 +72,7 @@
                 if before.last_request(*member, task) == Some(*request) {
                     prop_assert_eq!(table.leases().collect::<Vec<_>>(), before.leases().collect::<Vec<_>>());
                 } else if before.last_request(*member, task) > Some(*request) {
-                    prop_assert_eq!(&outcome, &Outcome::Refused(Refusal::OldRequest));
+                    prop_assert_eq!(&outcome, &Outcome::Refused(Refusal::StaleRequest));
                 }
             }
             // A grant has the log index as its token, above every earlier token of the task, and only for a free task
@@ -104,24 +104,24 @@
 fn an_expiry_ends_only_the_lease_it_names_and_only_without_a_later_renewal() {
     let mut table = LeaseTable::new();
     let t = task(0);
-    let acquire = |request, holding| Command::Acquire {
+    let acquire = |request, held_token| Command::Acquire {
         task: t.clone(),
         member: MemberId(1),
         request: RequestId(request),
         ttl_ms: 500,
-        holding,
+        held_token,
     };
     assert_eq!(table.apply(1, &acquire(1, None)), Outcome::Granted(Token(1)));
     assert_eq!(table.apply(2, &acquire(2, Some(Token(1)))), Outcome::Renewed(Token(1)));
     let stale = Command::Expire { task: t.clone(), token: Token(1), renewals: 0 };
-    assert_eq!(table.apply(3, &stale), Outcome::Refused(Refusal::Stale));
+    assert_eq!(table.apply(3, &stale), Outcome::Refused(Refusal::StaleExpiry));
     assert!(table.lease(&t).is_some());
     let other = Command::Acquire {
         task: t.clone(),
         member: MemberId(2),
         request: RequestId(1),
         ttl_ms: 500,
-        holding: None,
+        held_token: None,
     };
     assert_eq!(table.apply(4, &other), Outcome::Busy { holder: MemberId(1), token: Token(1) });
     assert_eq!(
@@ -133,7 +133,7 @@
         member: MemberId(2),
         request: RequestId(2),
         ttl_ms: 500,
-        holding: None,
+        held_token: None,
     };
     assert_eq!(table.apply(6, &retry), Outcome::Granted(Token(6)));
     let mut fence = Fence::new();
@@ -149,11 +149,14 @@
         member: MemberId(1),
         request: RequestId(request),
         ttl_ms,
-        holding: None,
+        held_token: None,
     };
-    assert_eq!(table.apply(1, &acquire("x", 10, 1)), Outcome::Refused(Refusal::BadTtl));
-    assert_eq!(table.apply(2, &acquire("", 1_000, 2)), Outcome::Refused(Refusal::BadTask));
-    assert_eq!(table.apply(3, &acquire(&"y".repeat(65), 1_000, 3)), Outcome::Refused(Refusal::BadTask));
+    assert_eq!(table.apply(1, &acquire("x", 10, 1)), Outcome::Refused(Refusal::InvalidTtl));
+    assert_eq!(table.apply(2, &acquire("", 1_000, 2)), Outcome::Refused(Refusal::InvalidTaskName));
+    assert_eq!(
+        table.apply(3, &acquire(&"y".repeat(65), 1_000, 3)),
+        Outcome::Refused(Refusal::InvalidTaskName)
+    );
     assert_eq!(table.leases().count(), 0);
     for n in 0..64u64 {
         let outcome = table.apply(10 + n, &acquire(&format!("t{n}"), 1_000, 10 + n));
@@ -170,7 +173,7 @@
         member: MemberId(1),
         request: RequestId(1),
         ttl_ms: 1_000,
-        holding: None,
+        held_token: None,
     };
     assert_eq!(table.apply(1, &acquire("a")), Outcome::Granted(Token(1)));
     assert_eq!(
--- a/crates/member/src/config/file.rs
+++ b/crates/member/src/config/file.rs
@@ -242,9 +242,9 @@
 impl BudgetConfig {
     fn budget(&self) -> Budget {
         Budget {
-            max_away: self.max_away,
-            max_share_per_mille: (self.max_share * PER_MILLE) as u32,
-            max_away_per_zone: self.max_away_per_zone,
+            max_unavailable: self.max_away,
+            max_unavailable_per_mille: (self.max_share * PER_MILLE) as u32,
+            max_unavailable_per_zone: self.max_away_per_zone,
         }
     }
 }
--- a/crates/member/src/member/leases.rs
+++ b/crates/member/src/member/leases.rs
@@ -5,7 +5,9 @@
 use crate::state_machine::release_task;
 use crate::status::OwnTaskView;
 use crate::wire::{self, Action};
-use pinetrestle_fleet::{Command, Holder, HolderState, MemberId, Outcome, RequestId, Task, Token, MAX_TASKS};
+use pinetrestle_fleet::{
+    Command, LeaseHolder, LeaseHolderState, MemberId, Outcome, RequestId, Task, Token, MAX_TASKS,
+};
 use slog::{info, Logger};
 use std::collections::BTreeMap;
 
@@ -17,7 +19,7 @@
     action_interval_ms: u64,
     /// Request ids of this incarnation lie above it.
     base_request: RequestId,
-    holders: BTreeMap<Task, Holder>,
+    holders: BTreeMap<Task, LeaseHolder>,
     /// The token under which this member last acted on each task, to log when that starts and ends.
     acting: BTreeMap<Task, Token>,
     last_action_ms: u64,
@@ -47,8 +49,8 @@
     }
 
     /// The holder of `task`, a new one if there is none.
-    fn holder_of(&mut self, task: Task) -> &mut Holder {
-        let new = Holder::new(task.clone(), self.member, self.lease_ms, Some(self.base_request));
+    fn holder_of(&mut self, task: Task) -> &mut LeaseHolder {
+        let new = LeaseHolder::new(task.clone(), self.member, self.lease_ms, Some(self.base_request));
         self.holders.entry(task).or_insert(new)
     }
 
@@ -139,16 +141,16 @@
     }
 }
 
-fn holder_status(task: &Task, holder: &mut Holder, now: u64) -> OwnTaskView {
+fn holder_status(task: &Task, holder: &mut LeaseHolder, now: u64) -> OwnTaskView {
     // A lease that has run out is dropped here, before its state is read.
     let may_act = holder.valid_token(now).is_some();
     let state = match holder.state() {
-        HolderState::Idle { .. } => "idle".to_owned(),
-        HolderState::Acquiring { .. } => "asking".to_owned(),
-        HolderState::Holding { token, .. } => format!("holding under token {}", token.0),
+        LeaseHolderState::Idle { .. } => "idle".to_owned(),
+        LeaseHolderState::Acquiring { .. } => "asking".to_owned(),
+        LeaseHolderState::Holding { token, .. } => format!("holding under token {}", token.0),
     };
     let may_act_ms = match holder.state() {
-        HolderState::Holding { expires_at_ms, .. } if may_act => Some(expires_at_ms - now),
+        LeaseHolderState::Holding { expires_at_ms, .. } if may_act => Some(expires_at_ms - now),
         _ => None,
     };
     OwnTaskView { task: task.0.clone(), wanted: holder.is_wanted(), state, may_act_ms }
--- a/crates/member/src/member/mod.rs
+++ b/crates/member/src/member/mod.rs
@@ -158,7 +158,7 @@
         }
         if leads {
             info!(self.log, "became leader"; "term" => self.raft.raft.term);
-            self.expiry.elected(now, &self.state.leases);
+            self.expiry.become_leader(now, &self.state.leases);
         } else {
             info!(self.log, "no longer leader"; "term" => self.raft.raft.term);
             self.expiry.step_down();
--- a/crates/member/src/rollout/leader_reports.rs
+++ b/crates/member/src/rollout/leader_reports.rs
@@ -2,7 +2,7 @@
 
 use crate::relay::DiscoveredServer;
 use pinetrestle_fleet::{RetryTimer, RETRY_INTERVAL_MS};
-use pinetrestle_rollout::{Command, Plan, Rollout};
+use pinetrestle_rollout::{Command, Plan, RolloutState};
 use std::collections::BTreeMap;
 
 /// Index servers reported in one tick, at most.
@@ -17,10 +17,15 @@
 
 impl LeaderReports {
     /// The file's plan, if the state has none or an older revision.
-    pub(super) fn newer_plan(&mut self, now: u64, plan: Option<&Plan>, state: &Rollout) -> Option<Command> {
+    pub(super) fn newer_plan(
+        &mut self,
+        now: u64,
+        plan: Option<&Plan>,
+        state: &RolloutState,
+    ) -> Option<Command> {
         let plan = plan?;
         let newer = state.plan().is_none_or(|known| known.revision < plan.revision);
-        (newer && self.plan.due(now)).then(|| Command::Configure(plan.clone()))
+        (newer && self.plan.fire_if_due(now)).then(|| Command::Configure(plan.clone()))
     }
 
     /// Index servers that discovery lists otherwise than the state has them, and those that it lists no more.
@@ -28,7 +33,7 @@
         &mut self,
         now: u64,
         listed: &BTreeMap<String, DiscoveredServer>,
-        state: &Rollout,
+        state: &RolloutState,
     ) -> Vec<Command> {
         if now < self.servers_ms + RETRY_INTERVAL_MS {
             return Vec::new();
--- a/crates/member/src/rollout/mod.rs
+++ b/crates/member/src/rollout/mod.rs
@@ -16,10 +16,10 @@
 use leader_reports::LeaderReports;
 use pending::PendingCommands;
 use pinetrestle_fleet::{MemberId, RetryTimer, Token};
-use pinetrestle_recovery::Recovery;
+use pinetrestle_recovery::RecoveryState;
 use pinetrestle_rollout::{
-    Agent, AgentConfig, AgentOutput, Command, FailureDetector, Outcome, Plan, ProcessAction, Rollout,
-    RolloutCoordinator, ServerPhase,
+    Agent, AgentConfig, AgentOutput, Command, FailureDetector, Outcome, Plan, ProcessAction,
+    RolloutCoordinator, RolloutState, ServerPhase,
 };
 use recovery::{RecoveryDriver, RecoveryInputs};
 use std::collections::BTreeMap;
@@ -111,7 +111,7 @@
     }
 
     /// This member became the leader, or is it no longer.
-    pub fn set_leading(&mut self, now: u64, leads: bool, state: &Rollout) {
+    pub fn set_leading(&mut self, now: u64, leads: bool, state: &RolloutState) {
         self.failure_detector = leads.then(|| FailureDetector::new(now, state));
     }
 
@@ -170,7 +170,7 @@
         self.recovery.tick(now, state, &inputs)
     }
 
-    fn tick_leader(&mut self, now: u64, state: &Rollout) -> Vec<Command> {
+    fn tick_leader(&mut self, now: u64, state: &RolloutState) -> Vec<Command> {
         let Some(detector) = &mut self.failure_detector else { return Vec::new() };
         let mut commands = detector.poll(now, self.member, state);
         commands.extend(self.leader_reports.newer_plan(now, self.plan.as_ref(), state));
@@ -180,13 +180,13 @@
         commands
     }
 
-    fn tick_agent(&mut self, now: u64, state: &Rollout) -> AgentOutput {
+    fn tick_agent(&mut self, now: u64, state: &RolloutState) -> AgentOutput {
         let Some(agent) = &mut self.agent else { return AgentOutput::default() };
         agent.poll(now, &self.observations.front.state, state, self.recovery.start_permission())
     }
 
     /// Reports drains that the front node has been notified of and the state does not yet count.
-    fn report_notified(&mut self, now: u64, state: &Rollout) -> Vec<Command> {
+    fn report_notified(&mut self, now: u64, state: &RolloutState) -> Vec<Command> {
         let mut commands = Vec::new();
         for (name, server) in state.servers() {
             let unreported = server.phase == ServerPhase::Draining
@@ -194,7 +194,7 @@
                 && self.observations.notified.get(name) == Some(&server.change_index);
             if !unreported {
                 self.notified_reports.remove(name);
-            } else if self.notified_reports.entry(name.to_owned()).or_default().due(now) {
+            } else if self.notified_reports.entry(name.to_owned()).or_default().fire_if_due(now) {
                 commands.push(Command::AcknowledgeDrain {
                     node: self.member,
                     server: name.to_owned(),
@@ -206,7 +206,7 @@
     }
 
     /// What the fleet has decided on index servers for this member's front node.
-    pub fn drain_view(&self, state: &Rollout) -> DrainView {
+    pub fn drain_view(&self, state: &RolloutState) -> DrainView {
         let closed = state.servers().filter(|(name, _)| !state.may_send(self.member, name));
         let changed = state.servers().filter(|(_, server)| server.change_index > 0);
         DrainView {
@@ -216,12 +216,12 @@
     }
 
     /// The status report's part on drains and releases; none before a plan is agreed.
-    pub fn status(&self, state: &Rollout) -> Option<RolloutView> {
+    pub fn status(&self, state: &RolloutState) -> Option<RolloutView> {
         status::rollout_view(state, self.agent.as_ref())
     }
 
     /// The status report's part on the recovery from a power loss; none where this member takes no part.
-    pub fn recovery_status(&self, state: &Recovery) -> Option<RecoveryView> {
+    pub fn recovery_status(&self, state: &RecoveryState) -> Option<RecoveryView> {
         self.takes_part().then(|| status::recovery_view(state, self.recovery.admission()))
     }
 }
--- a/crates/member/src/rollout/pending.rs
+++ b/crates/member/src/rollout/pending.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::Response;
 use pinetrestle_fleet::RetryTimer;
-use pinetrestle_rollout::{Command, Rollout};
+use pinetrestle_rollout::{Command, RolloutState};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
@@ -54,11 +54,11 @@
 
     /// Responds to the commands that have an outcome in `state` or have waited too long, and returns those to propose
     /// at `now`.
-    pub(super) fn poll(&mut self, now: u64, state: &Rollout) -> Vec<Command> {
+    pub(super) fn poll(&mut self, now: u64, state: &RolloutState) -> Vec<Command> {
         let mut commands = Vec::new();
         let waiting = std::mem::take(&mut self.by_id);
         for (id, mut pending) in waiting {
-            if let Some(outcome) = state.answer_to(&id) {
+            if let Some(outcome) = state.command_outcome(&id) {
                 let _ = pending.response.send(Response::Applied(outcome.clone()));
                 continue;
             }
@@ -67,7 +67,7 @@
                 let _ = pending.response.send(Response::Rejected(reason.to_owned()));
                 continue;
             }
-            if pending.proposed.due(now) {
+            if pending.proposed.fire_if_due(now) {
                 commands.push(pending.command.clone());
             }
             self.by_id.insert(id, pending);
--- a/crates/member/src/rollout/recovery.rs
+++ b/crates/member/src/rollout/recovery.rs
@@ -6,7 +6,7 @@
 use crate::state_machine::StateMachine;
 use pinetrestle_fleet::{MemberId, RetryTimer, Token};
 use pinetrestle_recovery::{
-    AdmissionController, AdmissionDecision, Command, Recovery, RecoveryCoordinator, WaitReason,
+    AdmissionController, AdmissionDecision, Command, RecoveryCoordinator, RecoveryState, WaitReason,
 };
 use pinetrestle_rollout::{Plan, StartPermission};
 
@@ -102,9 +102,9 @@
     }
 
     /// The leader's report of its election, until the state has its term.
-    fn election(&mut self, now: u64, state: &Recovery, inputs: &RecoveryInputs<'_>) -> Option<Command> {
+    fn election(&mut self, now: u64, state: &RecoveryState, inputs: &RecoveryInputs<'_>) -> Option<Command> {
         let raft = inputs.raft;
-        if !raft.leads || state.term() >= raft.term || !self.election_report.due(now) {
+        if !raft.leads || state.term() >= raft.term || !self.election_report.fire_if_due(now) {
             return None;
         }
         let members = inputs.plan.iter().flat_map(|plan| plan.nodes.keys().copied()).collect();
@@ -112,7 +112,7 @@
     }
 
     /// This member's report of its front node, where the state has another.
-    fn presence(&mut self, now: u64, state: &Recovery, inputs: &RecoveryInputs<'_>) -> Option<Command> {
+    fn presence(&mut self, now: u64, state: &RecoveryState, inputs: &RecoveryInputs<'_>) -> Option<Command> {
         let front = &inputs.front.state;
         let serving = front.running_version.is_some() && front.ready;
         let has_endpoint_list = !self.relayed || inputs.has_list;
@@ -126,7 +126,7 @@
         let current = inputs.raft.has_leader && state.term() == inputs.raft.term;
         // Whether the front node runs is known from the first observation on.
         let observed = inputs.front.observed || !inputs.has_front;
-        if !(current && changed && observed && self.presence_report.due(now)) {
+        if !(current && changed && observed && self.presence_report.fire_if_due(now)) {
             return None;
         }
         Some(Command::ReportPresence {
--- a/crates/member/src/rollout/status.rs
+++ b/crates/member/src/rollout/status.rs
@@ -4,13 +4,13 @@
     HaltView, NodeView, PresenceView, RecoveryView, ReleaseView, RolloutView, ServerView, SlotView,
 };
 use pinetrestle_fleet::MemberId;
-use pinetrestle_recovery::{AdmissionDecision, Recovery, RecoveryStage};
+use pinetrestle_recovery::{AdmissionDecision, RecoveryStage, RecoveryState};
 use pinetrestle_rollout::{
-    Agent, Direction, NodeState, Release, ReleaseStage, Rollout, ServerPhase, ServerState, StepState,
+    Agent, Direction, NodeState, Release, ReleaseStage, RolloutState, ServerPhase, ServerState, StepState,
 };
 
 /// The recovery from a power loss, with the decision on this member's front node.
-pub(super) fn recovery_view(state: &Recovery, decision: &AdmissionDecision) -> RecoveryView {
+pub(super) fn recovery_view(state: &RecoveryState, decision: &AdmissionDecision) -> RecoveryView {
     let reports = state.presences().iter().map(|(member, presence)| PresenceView {
         member: member.0,
         serving: presence.serving,
@@ -37,9 +37,9 @@
 }
 
 /// Drains and releases; none before a plan is agreed.
-pub(super) fn rollout_view(state: &Rollout, agent: Option<&Agent>) -> Option<RolloutView> {
+pub(super) fn rollout_view(state: &RolloutState, agent: Option<&Agent>) -> Option<RolloutView> {
     let plan = state.plan()?;
-    let away_servers = state.servers().filter(|(_, server)| server.is_away());
+    let away_servers = state.servers().filter(|(_, server)| server.is_unavailable());
     Some(RolloutView {
         revision: plan.revision,
         node_limit: plan.node_budget.limit(plan.nodes.len()),
@@ -72,7 +72,7 @@
     }
 }
 
-fn node_view(state: &Rollout, id: MemberId, node: &NodeState) -> NodeView {
+fn node_view(state: &RolloutState, id: MemberId, node: &NodeState) -> NodeView {
     let release = state.release();
     let step = release.and_then(|release| release.steps.get(&id));
     let running = release.is_some_and(|release| release.stage == ReleaseStage::Running);
@@ -84,7 +84,7 @@
         version: node.version.clone(),
         ready: node.ready,
         lost: node.unreachable,
-        away: state.is_away(id),
+        away: state.is_unavailable(id),
         slot: node.slot.as_ref().map(|slot| SlotView { index: slot.index, begun: slot.begun }),
         step: step_text(step),
         blocked_by,
--- a/crates/member/src/state_machine.rs
+++ b/crates/member/src/state_machine.rs
@@ -4,8 +4,8 @@
 //! Entries and the state are stored with postcard: the order of fields and of enum variants is the format.
 
 use pinetrestle_fleet::{Command, LeaseTable, Outcome, Task, Token};
-use pinetrestle_recovery::Recovery;
-use pinetrestle_rollout::{Rollout, RELEASE_TASK};
+use pinetrestle_recovery::RecoveryState;
+use pinetrestle_rollout::{RolloutState, RELEASE_TASK};
 use serde::{Deserialize, Serialize};
 
 /// One entry of the replicated log.
@@ -36,9 +36,9 @@
     /// The lease of each task.
     pub leases: LeaseTable,
     /// The plan, releases, drains, and what is away.
-    pub rollout: Rollout,
+    pub rollout: RolloutState,
     /// Whether the fleet lost its power, and which front nodes are admitted.
-    pub recovery: Recovery,
+    pub recovery: RecoveryState,
     /// The index of the last entry applied.
     applied_index: u64,
 }
--- a/crates/member/tests/snapshot.rs
+++ b/crates/member/tests/snapshot.rs
@@ -12,7 +12,7 @@
             member: MemberId(i % 5 + 1),
             request: RequestId(i + 1),
             ttl_ms: 1_000,
-            holding: None,
+            held_token: None,
         };
         table.apply(i + 1, &acquire);
     }
--- a/crates/member/tests/stored_data/entries.rs
+++ b/crates/member/tests/stored_data/entries.rs
@@ -39,8 +39,16 @@
             (MemberId(4), zone(None)),
         ]
         .into(),
-        node_budget: Budget { max_away: 1, max_share_per_mille: 500, max_away_per_zone: None },
-        server_budget: Budget { max_away: 2, max_share_per_mille: 1_000, max_away_per_zone: Some(1) },
+        node_budget: Budget {
+            max_unavailable: 1,
+            max_unavailable_per_mille: 500,
+            max_unavailable_per_zone: None,
+        },
+        server_budget: Budget {
+            max_unavailable: 2,
+            max_unavailable_per_mille: 1_000,
+            max_unavailable_per_zone: Some(1),
+        },
         canary_nodes: 1,
         max_failed_steps: 0,
         max_failed_queries_per_mille: 10,
@@ -67,13 +75,13 @@
     Applied { entry: LogEntry::Lease(command), decided: EntryOutcome::Lease(outcome) }
 }
 
-fn acquire(task: &str, member: u64, request: u64, ttl_ms: u64, holding: Option<u64>) -> Lease {
+fn acquire(task: &str, member: u64, request: u64, ttl_ms: u64, held_token: Option<u64>) -> Lease {
     Lease::Acquire {
         task: Task(task.to_owned()),
         member: MemberId(member),
         request: RequestId(request),
         ttl_ms,
-        holding: holding.map(Token),
+        held_token: held_token.map(Token),
     }
 }
 
@@ -98,16 +106,16 @@
         lease(acquire("rebuild-index", 1, 1, 1_000, None), LeaseOutcome::Granted(Token(2))),
         lease(acquire("rebuild-index", 2, 1, 1_000, None), busy),
         lease(acquire("rebuild-index", 1, 2, 2_000, Some(2)), LeaseOutcome::Renewed(Token(2))),
-        lease(expire("rebuild-index", 2, 0), refused(LeaseRefusal::Stale)),
+        lease(expire("rebuild-index", 2, 0), refused(LeaseRefusal::StaleExpiry)),
         lease(release("rebuild-index", 2, 2, 2), refused(LeaseRefusal::NotHolder)),
         lease(release("rebuild-index", 1, 3, 2), LeaseOutcome::Released),
         lease(acquire("rebuild-index", 2, 3, 1_000, None), LeaseOutcome::Granted(Token(8))),
         lease(expire("rebuild-index", 8, 0), LeaseOutcome::Expired),
         // A copy of the request at 7 gets the answer again; one from before it is refused.
         lease(release("rebuild-index", 1, 3, 2), LeaseOutcome::Released),
-        lease(acquire("rebuild-index", 1, 2, 1_000, None), refused(LeaseRefusal::OldRequest)),
-        lease(acquire("rebuild-index", 3, 1, 5, None), refused(LeaseRefusal::BadTtl)),
-        lease(acquire("", 3, 2, 1_000, None), refused(LeaseRefusal::BadTask)),
+        lease(acquire("rebuild-index", 1, 2, 1_000, None), refused(LeaseRefusal::StaleRequest)),
+        lease(acquire("rebuild-index", 3, 1, 5, None), refused(LeaseRefusal::InvalidTtl)),
+        lease(acquire("", 3, 2, 1_000, None), refused(LeaseRefusal::InvalidTaskName)),
         lease(acquire("release", 1, 1, 3_000, None), LeaseOutcome::Granted(RELEASE_TOKEN)),
         lease(acquire("compact-shards", 3, 1, 60_000, None), LeaseOutcome::Granted(Token(15))),
     ]
@@ -155,7 +163,7 @@
 
 /// Log indexes 16 to 42.
 fn drains() -> Vec<Applied> {
-    let over_zone = BudgetExceeded { away: 1, limit: 1, zone: Some("b".to_owned()) };
+    let over_zone = BudgetExceeded { unavailable: 1, limit: 1, zone: Some("b".to_owned()) };
     vec![
         refused(begin_release("early", "2.0"), Refusal::NoPlan),
         done(Rollout::Configure(plan(1))),
@@ -235,7 +243,7 @@
         done(report(1, 2, "2.0", true)),
         done(Rollout::DeclareUnreachable { node: MemberId(4), report_seq: 1 }),
         refused(take(4), Refusal::Unreachable),
-        refused(take(2), Refusal::BudgetExceeded(BudgetExceeded { away: 1, limit: 1, zone: None })),
+        refused(take(2), Refusal::BudgetExceeded(BudgetExceeded { unavailable: 1, limit: 1, zone: None })),
         done(report(4, 2, "1.0", true)),
         done(take(2)),
         done(begin(2, 58)),
--- a/crates/member/tests/stored_data/main.rs
+++ b/crates/member/tests/stored_data/main.rs
@@ -142,10 +142,10 @@
             ("s3", "b", true, ServerPhase::Serving, 0),
         ]
     );
-    assert_eq!(rollout.answer_to("d-2"), Some(&Outcome::Applied));
-    assert_eq!(rollout.answer_to("early"), Some(&Outcome::Refused(Refusal::NoPlan)));
+    assert_eq!(rollout.command_outcome("d-2"), Some(&Outcome::Applied));
+    assert_eq!(rollout.command_outcome("early"), Some(&Outcome::Refused(Refusal::NoPlan)));
     let running = Refusal::ReleaseInProgress { id: "rel-2".to_owned() };
-    assert_eq!(rollout.answer_to("rel-3"), Some(&Outcome::Refused(running)));
+    assert_eq!(rollout.command_outcome("rel-3"), Some(&Outcome::Refused(running)));
 }
 
 fn assert_last_recovery(machine: &StateMachine) {
--- a/crates/member/tests/stored_data/variants.rs
+++ b/crates/member/tests/stored_data/variants.rs
@@ -4,11 +4,11 @@
 use pinetrestle_fleet::{Lease, LeaseTable, MemberId, Outcome as LeaseOutcome, Refusal as LeaseRefusal};
 use pinetrestle_fleet::{RequestId, Task, Token};
 use pinetrestle_member::wire;
-use pinetrestle_recovery::{Outcome as RecoveryOutcome, Presence, Recovery, RecoveryStage};
+use pinetrestle_recovery::{Outcome as RecoveryOutcome, Presence, RecoveryStage, RecoveryState};
 use pinetrestle_rollout::{
     Budget, BudgetExceeded, Direction, Halt, HealthCounters, NodePlan, NodeState, Outcome, Refusal,
 };
-use pinetrestle_rollout::{Release, ReleaseStage, Rollout, ServerPhase, ServerState, Slot, StepState};
+use pinetrestle_rollout::{Release, ReleaseStage, RolloutState, ServerPhase, ServerState, Slot, StepState};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,13 +28,13 @@
     assert_form(LeaseOutcome::Busy { holder: MemberId(1), token: Token(7) }, &[2, 1, 7]);
     assert_form(LeaseOutcome::Released, &[3]);
     assert_form(LeaseOutcome::Expired, &[4]);
-    assert_form(LeaseOutcome::Refused(LeaseRefusal::BadTtl), &[5, 0]);
-    assert_form(LeaseOutcome::Refused(LeaseRefusal::BadTask), &[5, 1]);
+    assert_form(LeaseOutcome::Refused(LeaseRefusal::InvalidTtl), &[5, 0]);
+    assert_form(LeaseOutcome::Refused(LeaseRefusal::InvalidTaskName), &[5, 1]);
     assert_form(LeaseOutcome::Refused(LeaseRefusal::TooManyTasks), &[5, 2]);
     assert_form(LeaseOutcome::Refused(LeaseRefusal::TooManyMembers), &[5, 3]);
-    assert_form(LeaseOutcome::Refused(LeaseRefusal::OldRequest), &[5, 4]);
+    assert_form(LeaseOutcome::Refused(LeaseRefusal::StaleRequest), &[5, 4]);
     assert_form(LeaseOutcome::Refused(LeaseRefusal::NotHolder), &[5, 5]);
-    assert_form(LeaseOutcome::Refused(LeaseRefusal::Stale), &[5, 6]);
+    assert_form(LeaseOutcome::Refused(LeaseRefusal::StaleExpiry), &[5, 6]);
 }
 
 #[test]
@@ -58,7 +58,7 @@
     assert_form(Outcome::Refused(Refusal::Halted), &[2, 3]);
     assert_form(Outcome::Refused(Refusal::ReleaseInProgress { id: "r".to_owned() }), &[2, 4, 1, b'r']);
     assert_form(Outcome::Refused(Refusal::NoRelease), &[2, 5]);
-    let over = BudgetExceeded { away: 1, limit: 2, zone: Some("z".to_owned()) };
+    let over = BudgetExceeded { unavailable: 1, limit: 2, zone: Some("z".to_owned()) };
     assert_form(Outcome::Refused(Refusal::BudgetExceeded(over)), &[2, 6, 1, 2, 1, 1, b'z']);
     assert_form(Outcome::Refused(Refusal::NotEligible), &[2, 7]);
     assert_form(Outcome::Refused(Refusal::AwaitingCanaries), &[2, 8]);
@@ -97,12 +97,13 @@
         slot: Some(slot),
     };
     assert_form(node, &[3, 1, b'v', 1, 0, 1, 7, 1, b'g', 1, b'l', 1]);
-    assert_form(Rollout::new(), &[0, 0, 0, 0, 0, 0, 0, 0]);
+    assert_form(RolloutState::new(), &[0, 0, 0, 0, 0, 0, 0, 0]);
 }
 
 #[test]
 fn plans_and_index_servers_keep_their_form() {
-    let budget = Budget { max_away: 1, max_share_per_mille: 2, max_away_per_zone: Some(3) };
+    let budget =
+        Budget { max_unavailable: 1, max_unavailable_per_mille: 2, max_unavailable_per_zone: Some(3) };
     assert_form(budget, &[1, 2, 1, 3]);
     assert_form(NodePlan { zone: Some("z".to_owned()) }, &[1, 1, b'z']);
     assert_form(HealthCounters { answered: 1, failed: 2, defects: 3 }, &[1, 2, 3]);
@@ -130,5 +131,5 @@
     assert_form(RecoveryStage::Normal, &[3]);
     assert_form(Presence { incarnation: 5, serving: true, has_endpoint_list: false }, &[5, 1, 0]);
     assert_form([RecoveryOutcome::Applied, RecoveryOutcome::Ignored], &[0, 1]);
-    assert_form(Recovery::new(), &[0, 0, 0, 0, 0, 0, 0]);
+    assert_form(RecoveryState::new(), &[0, 0, 0, 0, 0, 0, 0]);
 }
--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -1,36 +1,38 @@
-//! Admission of one member's own front node: whether it may be started now.
+//! Admission: whether a member may start its own front node now.
 
 use crate::command::RecoveryStage;
-use crate::state::Recovery;
+use crate::state::RecoveryState;
 use pinetrestle_fleet::MemberId;
 use std::fmt;
 
 /// Whether a front node may be started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// With its usual settings.
+    /// The front node may be started with its normal settings.
     Admit,
-    /// Not yet, and why, for the status.
+    /// The front node may not be started yet, for a reason that is shown in the status.
     Wait(WaitReason),
-    /// With its safe-mode settings: no leader has been known for so long that service without the fleet is better than
-    /// none. Nothing is drained or released by the fleet until it has a leader again.
+    /// The front node may be started with its safe-mode settings. No leader has been known for so long that
+    /// serving without the fleet's decisions is better than not serving. The fleet drains and releases
+    /// nothing until it has a leader again.
     AdmitInSafeMode,
 }
 
-/// Why a front node is not admitted yet. Its display text is shown in the status.
+/// The reason why a front node is not admitted yet. Its display text is shown in the status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitReason {
     /// The member has just started and has not polled yet.
     JustStarted,
-    /// No leader is known.
+    /// The member knows of no leader.
     NoLeader,
-    /// The members present are being counted after an election.
+    /// After an election, less than a majority of members has reported its presence.
     CountingMembers,
-    /// Nothing serves, and a majority does not have discovery's endpoint list yet.
+    /// No front node serves, and less than a majority of members has received discovery's endpoint list.
     AwaitingEndpointLists,
-    /// Nothing served, and the wave that admits this front node is not open yet.
+    /// The fleet recovers from a state in which no front node served, and no wave that admits this front node
+    /// is open.
     WaveNotOpen,
-    /// The log does not show this incarnation's presence report yet.
+    /// The presence report of this incarnation has not been applied from the log yet.
     PresenceNotApplied,
 }
 
@@ -49,7 +51,7 @@
     }
 }
 
-/// The admission controller of one member in one incarnation.
+/// Decides when one incarnation of a member may start its front node.
 #[derive(Debug, Clone)]
 pub struct AdmissionController {
     node: MemberId,
@@ -59,20 +61,23 @@
 }
 
 impl AdmissionController {
-    /// The controller of `node` in its incarnation `incarnation`; it admits the front node in safe mode after
-    /// `safe_mode_after_ms` milliseconds without a leader.
+    /// Creates the controller of the member `node` in its incarnation `incarnation`. It admits the front node
+    /// in safe mode once no leader has been known for `safe_mode_after_ms` milliseconds.
     pub fn new(node: MemberId, incarnation: u64, safe_mode_after_ms: u64) -> AdmissionController {
         AdmissionController { node, incarnation, safe_mode_after_ms, leaderless_since_ms: None }
     }
 
-    /// Decides at `now_ms` of this process's monotonic clock. `leader_known` says whether a leader is known, `running`
-    /// whether the front node runs already; one that runs stays admitted.
+    /// Returns whether the front node may be started at `now_ms`, in milliseconds of the process's monotonic
+    /// clock.
+    ///
+    /// `leader_known` says whether the member knows a leader, `running` whether the front node is running. A
+    /// front node that is running stays admitted.
     pub fn poll(
         &mut self,
         now_ms: u64,
         leader_known: bool,
         running: bool,
-        state: &Recovery,
+        state: &RecoveryState,
     ) -> AdmissionDecision {
         if leader_known {
             self.leaderless_since_ms = None;
--- a/crates/recovery/src/command.rs
+++ b/crates/recovery/src/command.rs
@@ -1,75 +1,81 @@
-//! Commands of the replicated log and what they decide.
+//! The commands of the replicated log that control recovery, and their outcomes.
 
 use pinetrestle_fleet::{MemberId, Token};
 use serde::{Deserialize, Serialize};
 
-/// One command of the replicated log.
+/// A command of the replicated log that [`RecoveryState`](crate::RecoveryState) applies.
 ///
 /// Stored in the log with postcard: the order of the variants and of their fields is the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A leader was elected; the members present are counted anew.
+    /// Records the election of a leader (proposed by that leader). The members that are present are then
+    /// counted anew.
     LeaderElected {
-        /// Its Raft term; a term that is not higher than the last one changes nothing.
+        /// The Raft term of the leader. The command is ignored if the term is not higher than that of the
+        /// last election.
         term: u64,
-        /// The members of the fleet, as its file has them.
+        /// The members of the fleet, from the leader's configuration file.
         members: Vec<MemberId>,
     },
-    /// A member reports its state, once after each election and whenever that changes.
+    /// Reports the state of a member (proposed by that member, once after each election and whenever the
+    /// state changes).
     ReportPresence {
-        /// The member.
+        /// The member that reports.
         node: MemberId,
-        /// Its incarnation, counted on its disk.
+        /// The incarnation of the member, a count of its starts that is kept on its disk.
         incarnation: u64,
-        /// The term it answers. Proposed only while the log's own term is the one this member is in, so that a report
-        /// from before a power loss can't admit an incarnation after it.
+        /// The term of the election for which the member reports. The member proposes a report only while
+        /// this is both its current term and the term of the last election in the replicated state. So a
+        /// report from before a power loss can't admit an incarnation that started after it.
         term: u64,
-        /// Whether its front node runs.
+        /// Whether the member's front node is running and ready.
         serving: bool,
-        /// Whether it has discovery's endpoint list.
+        /// Whether the member has received discovery's endpoint list.
         has_endpoint_list: bool,
     },
-    /// The next stage opens (coordinator).
+    /// Ends a stage and begins the next one (proposed by the coordinator).
     AdvanceStage {
-        /// The release lease's token.
+        /// The fencing token of the release lease.
         token: Token,
-        /// The fleet's epoch it is about.
+        /// The epoch of the recovery. The command is ignored if this is not the current epoch.
         epoch: u64,
-        /// The stage it leaves.
+        /// The stage to end. The command is ignored if this is not the current stage.
         from_stage: RecoveryStage,
     },
 }
 
-/// The stage of the fleet's return from a power loss.
+/// The stage of the fleet's recovery from a power loss.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecoveryStage {
-    /// Which members are present, and whether any serves, is not known yet.
+    /// Less than a majority of members has reported since the last election, so it is not known whether any
+    /// front node serves.
     #[default]
     CountingMembers,
-    /// Nothing serves: a majority needs discovery's endpoint list first.
+    /// No front node serves, and less than a majority of members has received discovery's endpoint list.
     AwaitingEndpointLists,
-    /// So many front nodes are admitted.
+    /// A wave is open. The value is its size: the number of front nodes that it admits, including those of
+    /// earlier waves.
     Waves(u32),
     /// All front nodes are admitted.
     Normal,
 }
 
-/// The state a member has reported.
+/// The state that a member has reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
-    /// The member's incarnation.
+    /// The incarnation of the member.
     pub incarnation: u64,
-    /// Whether its front node runs.
+    /// Whether the member's front node is running and ready.
     pub serving: bool,
-    /// Whether it has discovery's endpoint list.
+    /// Whether the member has received discovery's endpoint list.
     pub has_endpoint_list: bool,
 }
 
-/// What applying a command decided.
+/// The result of applying a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It took effect.
+    /// The command took effect.
     Applied,
-    /// It is stale, or its condition does not hold: nothing changed.
+    /// The command changed nothing: it is outdated, or its condition does not hold.
     Ignored,
 }
--- a/crates/recovery/src/coordinator.rs
+++ b/crates/recovery/src/coordinator.rs
@@ -1,15 +1,17 @@
-//! The coordinator of the fleet's return, at the holder of the release lease: when the next stage may open.
+//! The coordinator of the fleet's recovery, which runs at the holder of the release lease: it decides when
+//! the next stage begins.
 
 use crate::command::{Command, RecoveryStage};
-use crate::state::Recovery;
+use crate::state::RecoveryState;
 use pinetrestle_fleet::{RetryTimer, Token};
 
-/// A wave with a front node that does not come up is left after this many times its usual length.
+/// A wave in which an admitted front node does not serve lasts this many times the normal minimum time.
 const STALLED_WAVE_FACTOR: u64 = 10;
-/// The least usual length from which the length of a stalled wave is reckoned, in milliseconds.
+/// Lower bound in milliseconds for the time that [`STALLED_WAVE_FACTOR`] multiplies.
 const MIN_STALLED_WAVE_BASE_MS: u64 = 1_000;
 
-/// The stage that was seen last, and since when on this coordinator's clock.
+/// The stage that the coordinator saw last, and when it first saw it, in milliseconds of the coordinator's
+/// clock.
 #[derive(Debug, Clone, Copy)]
 struct ObservedStage {
     token: Token,
@@ -19,13 +21,16 @@
 }
 
 impl ObservedStage {
-    fn is_same(&self, other: &ObservedStage) -> bool {
+    /// Returns whether both are the same stage of the same recovery, seen under the same lease.
+    fn is_same_stage(&self, other: &ObservedStage) -> bool {
         self.token == other.token && self.epoch == other.epoch && self.stage == other.stage
     }
 }
 
-/// What a coordinator remembers while it holds the lease. A new lease holder counts the stage's time from when it first
-/// sees the stage.
+/// Decides when the holder of the release lease proposes to begin the next stage of the recovery.
+///
+/// The duration of a stage is counted from when this coordinator first saw it. So a new lease holder counts
+/// the duration of the current stage from the start again.
 #[derive(Debug, Default, Clone)]
 pub struct RecoveryCoordinator {
     observed: Option<ObservedStage>,
@@ -33,21 +38,24 @@
 }
 
 impl RecoveryCoordinator {
-    /// A coordinator that has seen nothing yet.
+    /// Creates a coordinator that has not seen any stage yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The step to propose at `now_ms` of this process's monotonic clock, under the release lease's `token`. Each wave
-    /// lasts `warm_ms` milliseconds at least, ten times as long while a front node that it admits does not serve; no
-    /// stage opens while the fleet is `halted`.
+    /// Returns the command that begins the next stage, if it is to be proposed at `now_ms`, in milliseconds
+    /// of the process's monotonic clock. `token` is the fencing token of the release lease, which this member
+    /// holds.
+    ///
+    /// Each wave lasts at least `min_wave_ms` milliseconds, and ten times as long (but at least 10 s)
+    /// if a front node that it admits does not serve. No stage begins while the fleet is `halted`.
     pub fn poll(
         &mut self,
         now_ms: u64,
         token: Token,
-        state: &Recovery,
+        state: &RecoveryState,
         halted: bool,
-        warm_ms: u64,
+        min_wave_ms: u64,
     ) -> Option<Command> {
         let observed = self.observe(ObservedStage {
             token,
@@ -55,17 +63,18 @@
             stage: state.stage(),
             since_ms: now_ms,
         });
-        let length_over = now_ms >= observed.since_ms + least_stage_ms(state, warm_ms);
-        let may_open = !halted && state.may_advance() && length_over;
-        if !may_open || !self.retry.due(now_ms) {
+        let lasted_long_enough = now_ms >= observed.since_ms + min_stage_ms(state, min_wave_ms);
+        let may_advance = !halted && state.may_advance() && lasted_long_enough;
+        if !may_advance || !self.retry.fire_if_due(now_ms) {
             return None;
         }
         Some(Command::AdvanceStage { token, epoch: observed.epoch, from_stage: observed.stage })
     }
 
-    /// Replaces the stage seen last if `current` is another one; the stage that counts now.
+    /// Returns the observation of the current stage with the time when it was first seen. Records `current`
+    /// and resets the retry timer if it is another stage than the one seen last.
     fn observe(&mut self, current: ObservedStage) -> ObservedStage {
-        if let Some(known) = self.observed.filter(|known| known.is_same(&current)) {
+        if let Some(known) = self.observed.filter(|known| known.is_same_stage(&current)) {
             return known;
         }
         self.observed = Some(current);
@@ -74,11 +83,11 @@
     }
 }
 
-/// The least length of the present stage, in milliseconds.
-fn least_stage_ms(state: &Recovery, warm_ms: u64) -> u64 {
+/// Returns the minimum duration of the current stage, in milliseconds.
+fn min_stage_ms(state: &RecoveryState, min_wave_ms: u64) -> u64 {
     match state.stage() {
-        RecoveryStage::Waves(_) if state.wave_is_serving() => warm_ms,
-        RecoveryStage::Waves(_) => STALLED_WAVE_FACTOR * warm_ms.max(MIN_STALLED_WAVE_BASE_MS),
+        RecoveryStage::Waves(_) if state.wave_is_serving() => min_wave_ms,
+        RecoveryStage::Waves(_) => STALLED_WAVE_FACTOR * min_wave_ms.max(MIN_STALLED_WAVE_BASE_MS),
         _ => 0,
     }
 }
--- a/crates/recovery/src/stale_state.rs
+++ b/crates/recovery/src/stale_state.rs
@@ -9,12 +9,13 @@
 //! | the version that ran last | an old version among new ones | once the log names it | before: the one to start, replaced by a later step |
 //! | a lease held | two lease holders | never | never |
 //!
-//! No ages are compared: no clock runs through a power loss, and wall clocks may have been moved. What counts is whether
-//! a fact was learned in this incarnation, and whether the log has shown a report of this incarnation.
+//! No ages are compared: no clock runs through a power loss, and wall clocks may have been moved. What counts
+//! is whether a fact was learned in this incarnation, and whether the log has shown a report of this
+//! incarnation.
 
 /// What a fact is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fact {
+pub enum StateKind {
     /// An index server is drained by the fleet.
     ServerDrain,
     /// Discovery's endpoint list.
@@ -29,10 +30,11 @@
 
 /// Where a fact comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FactSource {
+pub enum StateSource {
     /// Learned in this incarnation.
     ThisIncarnation,
-    /// Read from disk, and the log has shown a report of this incarnation since: it holds all that was decided before.
+    /// Read from disk, and the log has shown a report of this incarnation since: it holds all that was
+    /// decided before.
     DiskWithCurrentLog,
     /// Read from disk, and nothing more is known.
     DiskOnly,
@@ -50,11 +52,15 @@
 }
 
 /// The use that the table of this module permits for `fact` from `source`.
-pub fn permitted_use(fact: Fact, source: FactSource) -> PermittedUse {
+pub fn permitted_use(fact: StateKind, source: StateSource) -> PermittedUse {
     match (fact, source) {
-        (_, FactSource::ThisIncarnation) => PermittedUse::Decide,
-        (Fact::ServerDrain | Fact::FrontNodeVersion, FactSource::DiskWithCurrentLog) => PermittedUse::Decide,
-        (Fact::ServerDrain | Fact::FrontNodeVersion | Fact::EndpointList, _) => PermittedUse::CautionOnly,
-        (Fact::ReplicaHealth | Fact::Lease, _) => PermittedUse::Ignore,
+        (_, StateSource::ThisIncarnation) => PermittedUse::Decide,
+        (StateKind::ServerDrain | StateKind::FrontNodeVersion, StateSource::DiskWithCurrentLog) => {
+            PermittedUse::Decide
+        }
+        (StateKind::ServerDrain | StateKind::FrontNodeVersion | StateKind::EndpointList, _) => {
+            PermittedUse::CautionOnly
+        }
+        (StateKind::ReplicaHealth | StateKind::Lease, _) => PermittedUse::Ignore,
     }
 }
--- a/crates/recovery/src/state.rs
+++ b/crates/recovery/src/state.rs
@@ -1,71 +1,75 @@
-//! The replicated state: every member applies the same commands in the log's order and so holds the same state.
+//! The replicated state of the recovery. Every member applies the same commands in log order and therefore
+//! has the same state.
 
 use crate::command::{Command, Outcome, Presence, RecoveryStage};
 use pinetrestle_fleet::{MemberId, Token, MAX_MEMBERS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A wave grows by at most the fleet's size divided by this, once doubling would add more.
+/// The size of the fleet divided by this is the maximum number of front nodes that a wave adds to the
+/// previous one.
 const WAVE_GROWTH_DIVISOR: u32 = 8;
-/// Front nodes by which a wave may always grow (after the first), however small the fleet.
+/// Lower bound for that maximum, for small fleets.
 const MIN_WAVE_GROWTH_LIMIT: u32 = 2;
 
-/// The replicated state of the fleet's return from a power loss.
+/// The replicated state of the fleet's recovery from a power loss.
 ///
-/// Serialized complete, as a snapshot, with postcard: the order and types of the fields are the format.
+/// Stored in snapshots with postcard: the order and types of the fields are the format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Recovery {
+pub struct RecoveryState {
     members: Vec<MemberId>,
-    /// Counts the power losses the fleet came back from.
+    /// The number of recoveries so far: elections after which no front node was serving.
     epoch: u64,
     stage: RecoveryStage,
+    /// The term of the last election that was applied.
     term: u64,
-    /// The reports since the last election.
+    /// The last report of each member since the last election.
     presences: BTreeMap<MemberId, Presence>,
-    /// The members in the order of their first reports since the last election, which is the order of admission.
+    /// The members in the order of their first reports since the last election. Waves admit them in this
+    /// order.
     arrival_order: Vec<MemberId>,
-    /// Members that a wave of the present return admitted, with the incarnation it admitted: they stay admitted while
-    /// that incarnation lasts.
+    /// The members that a wave of the current recovery has admitted, each with the incarnation that was
+    /// admitted. They stay admitted while that incarnation lasts, also across elections.
     admitted: BTreeMap<MemberId, u64>,
 }
 
-impl Recovery {
-    /// The state before any command: nothing is known of the fleet.
+impl RecoveryState {
+    /// Creates the state before any command is applied.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The number of power losses the fleet came back from, including the present return.
+    /// Returns the number of recoveries so far, including the current one.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The stage of the return.
+    /// Returns the current stage.
     pub fn stage(&self) -> RecoveryStage {
         self.stage
     }
 
-    /// The term of the last election applied.
+    /// Returns the term of the last election that was applied.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The members that have reported since the last election, with what they reported.
+    /// Returns the members that have reported since the last election, with their last reports.
     pub fn presences(&self) -> &BTreeMap<MemberId, Presence> {
         &self.presences
     }
 
-    /// The number of members of the fleet.
+    /// Returns the number of members of the fleet.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether `node`, in its incarnation `incarnation`, may start its front node.
+    /// Returns whether the member `node` may start its front node in its incarnation `incarnation`.
     pub fn is_admitted(&self, node: MemberId, incarnation: u64) -> bool {
         if self.admitted.get(&node) == Some(&incarnation) {
             return true;
         }
-        // A report of an earlier incarnation says nothing about this one.
+        // A report of another incarnation says nothing about this one.
         let reported = self.presences.get(&node).filter(|presence| presence.incarnation == incarnation);
         let Some(presence) = reported else { return false };
         match self.stage {
@@ -77,10 +81,11 @@
         }
     }
 
-    /// The front nodes that a wave of `size` admits: those admitted already first, then in the order of their reports.
+    /// Iterates over the members that a wave of `size` admits: first those that an earlier wave admitted,
+    /// then the others in the order of their first reports.
     ///
-    /// A member that was admitted before an election and has not reported since may serve, so it keeps its place in
-    /// the wave without being listed.
+    /// A member that was admitted before an election and has not reported since may still serve. It counts
+    /// towards `size`, but is not among the returned members.
     pub fn wave_members(&self, size: u32) -> impl Iterator<Item = MemberId> + '_ {
         let unreported = self.admitted.keys().filter(|node| !self.presences.contains_key(node)).count();
         let admitted = self.arrival_order.iter().copied().filter(|node| self.keeps_admission(*node));
@@ -88,15 +93,17 @@
         admitted.chain(others).take((size as usize).saturating_sub(unreported))
     }
 
-    /// Whether `node` was admitted in the incarnation it has reported.
+    /// Returns whether an earlier wave admitted `node` in the incarnation that it last reported.
     fn keeps_admission(&self, node: MemberId) -> bool {
         self.presences
             .get(&node)
             .is_some_and(|presence| self.admitted.get(&node) == Some(&presence.incarnation))
     }
 
-    /// The size of the wave after one of `size`: twice as large, but larger by an eighth of the fleet (or two) at
-    /// most, since each front node brings all that its clients have kept.
+    /// Returns the size of the wave after one of `size`.
+    ///
+    /// Sizes double, but grow by at most an eighth of the fleet or two front nodes, whichever is more: each
+    /// front node that starts adds the load of all queries that its clients have held back meanwhile.
     fn next_wave_size(&self, size: u32) -> u32 {
         let growth_limit = (self.members.len() as u32 / WAVE_GROWTH_DIVISOR).max(MIN_WAVE_GROWTH_LIMIT);
         size + size.min(growth_limit)
@@ -106,8 +113,11 @@
         2 * count > self.members.len()
     }
 
-    /// Whether the stage may be left at all. A wave always may: a front node that does not come up sends nothing, and
-    /// must not keep the others out. How long it is waited for is decided by the coordinator.
+    /// Returns whether the condition to end the current stage holds.
+    ///
+    /// A wave may always end: a front node that does not come up sends nothing to the index servers, and must
+    /// not prevent the admission of the others. The coordinator decides how long to wait for such a front
+    /// node.
     pub fn may_advance(&self) -> bool {
         match self.stage {
             RecoveryStage::CountingMembers | RecoveryStage::Normal => false,
@@ -119,7 +129,7 @@
         }
     }
 
-    /// Whether every front node that the present wave admits serves; true outside the waves.
+    /// Returns whether every front node that the current wave admits serves, or `true` if no wave is open.
     pub fn wave_is_serving(&self) -> bool {
         match self.stage {
             RecoveryStage::Waves(size) => self
@@ -129,7 +139,8 @@
         }
     }
 
-    /// Applies a command. `release_lease` is the token of the release lease at the command's place in the log.
+    /// Applies a command from the log and returns its outcome. `release_lease` is the token of the release
+    /// lease at the log index of the command.
     pub fn apply(&mut self, command: &Command, release_lease: Option<Token>) -> Outcome {
         let outcome = match command {
             Command::LeaderElected { term, members } => self.leader_elected(*term, members),
@@ -159,15 +170,14 @@
         self.presences.clear();
         self.arrival_order.clear();
         self.admitted.retain(|node, _| members.contains(node));
-        // A return that a change of leader interrupts is counted anew: either those admitted by then serve, or the
-        // power was lost again.
+        // Count again whether any front node serves, also if the election interrupts a recovery: either the
+        // front nodes admitted so far still serve, or there was another power loss.
         self.stage = RecoveryStage::CountingMembers;
         Outcome::Applied
     }
 
     fn report_presence(&mut self, node: MemberId, term: u64, presence: Presence) -> Outcome {
-        let is_older =
-            self.presences.get(&node).is_some_and(|known| known.incarnation > presence.incarnation);
+        let is_older = self.presences.get(&node).is_some_and(|last| last.incarnation > presence.incarnation);
         if term != self.term || is_older || !self.members.contains(&node) {
             return Outcome::Ignored;
         }
@@ -183,7 +193,7 @@
         Outcome::Applied
     }
 
-    /// A majority has reported: the fleet was without service if none of them serves.
+    /// Ends the count of members, because a majority has reported. If none of them serves, a recovery begins.
     fn finish_counting(&mut self) {
         if self.presences.values().any(|presence| presence.serving) {
             self.stage = RecoveryStage::Normal;
@@ -203,7 +213,7 @@
 
     fn next_stage(&self) -> RecoveryStage {
         match self.stage {
-            // A return begun before an election goes on from the front nodes it had admitted.
+            // A recovery that an election interrupted continues with as many front nodes as it had admitted.
             RecoveryStage::AwaitingEndpointLists => RecoveryStage::Waves(self.admitted.len().max(1) as u32),
             RecoveryStage::Waves(size) if self.next_wave_size(size) < self.members.len() as u32 => {
                 RecoveryStage::Waves(self.next_wave_size(size))
@@ -212,17 +222,17 @@
         }
     }
 
-    /// Records whom the present wave admits, so that they stay admitted while their incarnation lasts, also across an
-    /// election.
+    /// Records the members that the current wave admits, so that they stay admitted while their incarnation
+    /// lasts, also across elections.
     fn record_admissions(&mut self) {
         match self.stage {
             RecoveryStage::Normal => self.admitted.clear(),
             RecoveryStage::Waves(size) => {
-                let admitted_now: Vec<(MemberId, u64)> = self
+                let wave: Vec<(MemberId, u64)> = self
                     .wave_members(size)
                     .filter_map(|node| Some((node, self.presences.get(&node)?.incarnation)))
                     .collect();
-                self.admitted.extend(admitted_now);
+                self.admitted.extend(wave);
             }
             RecoveryStage::CountingMembers | RecoveryStage::AwaitingEndpointLists => {}
         }
--- a/crates/recovery/tests/commands.rs
+++ b/crates/recovery/tests/commands.rs
@@ -1,10 +1,10 @@
 //! Commands one by one, admission of a front node, and what facts from disk may be used for.
 
 use pinetrestle_fleet::{MemberId, Token};
-use pinetrestle_recovery::stale_state::{permitted_use, Fact, FactSource, PermittedUse};
+use pinetrestle_recovery::stale_state::{permitted_use, PermittedUse, StateKind, StateSource};
 use pinetrestle_recovery::{
-    AdmissionController, AdmissionDecision, Command, Outcome, Recovery, RecoveryCoordinator, RecoveryStage,
-    WaitReason,
+    AdmissionController, AdmissionDecision, Command, Outcome, RecoveryCoordinator, RecoveryStage,
+    RecoveryState, WaitReason,
 };
 
 const LEASE: Option<Token> = Some(Token(9));
@@ -30,8 +30,8 @@
 }
 
 /// Five members of which a majority is present and none serves.
-fn fleet_without_service() -> Recovery {
-    let mut state = Recovery::new();
+fn fleet_without_service() -> RecoveryState {
+    let mut state = RecoveryState::new();
     state.apply(&elected(3), LEASE);
     for node in 1..=3 {
         assert_eq!(state.apply(&presence(node, 3, false, false), LEASE), Outcome::Applied);
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_member_that_restarts_beside_serving_ones_waits_only_for_the_count() {
-    let mut state = Recovery::new();
+    let mut state = RecoveryState::new();
     state.apply(&elected(3), LEASE);
     state.apply(&presence(1, 3, false, false), LEASE);
     assert!(!state.is_admitted(MemberId(1), INCARNATION));
@@ -84,7 +84,7 @@
 
 #[test]
 fn without_a_leader_a_front_node_is_admitted_in_safe_mode_after_a_time_and_a_running_one_stays() {
-    let state = Recovery::new();
+    let state = RecoveryState::new();
     let mut admission = AdmissionController::new(MemberId(1), INCARNATION, 1_000);
     assert!(matches!(admission.poll(0, false, false, &state), AdmissionDecision::Wait(_)));
     let with_leader = admission.poll(900, true, false, &state);
@@ -98,15 +98,20 @@
 
 #[test]
 fn no_fact_from_disk_decides_before_the_log_has_caught_up() {
-    let facts =
-        [Fact::ServerDrain, Fact::EndpointList, Fact::ReplicaHealth, Fact::FrontNodeVersion, Fact::Lease];
+    let facts = [
+        StateKind::ServerDrain,
+        StateKind::EndpointList,
+        StateKind::ReplicaHealth,
+        StateKind::FrontNodeVersion,
+        StateKind::Lease,
+    ];
     for fact in facts {
-        assert_ne!(permitted_use(fact, FactSource::DiskOnly), PermittedUse::Decide, "{fact:?}");
-        assert_eq!(permitted_use(fact, FactSource::ThisIncarnation), PermittedUse::Decide, "{fact:?}");
+        assert_ne!(permitted_use(fact, StateSource::DiskOnly), PermittedUse::Decide, "{fact:?}");
+        assert_eq!(permitted_use(fact, StateSource::ThisIncarnation), PermittedUse::Decide, "{fact:?}");
     }
-    assert_eq!(permitted_use(Fact::ServerDrain, FactSource::DiskOnly), PermittedUse::CautionOnly);
-    assert_eq!(permitted_use(Fact::Lease, FactSource::DiskWithCurrentLog), PermittedUse::Ignore);
-    assert_eq!(permitted_use(Fact::ReplicaHealth, FactSource::DiskOnly), PermittedUse::Ignore);
+    assert_eq!(permitted_use(StateKind::ServerDrain, StateSource::DiskOnly), PermittedUse::CautionOnly);
+    assert_eq!(permitted_use(StateKind::Lease, StateSource::DiskWithCurrentLog), PermittedUse::Ignore);
+    assert_eq!(permitted_use(StateKind::ReplicaHealth, StateSource::DiskOnly), PermittedUse::Ignore);
 }
 
 #[test]
--- a/crates/recovery/tests/random_histories/fleet.rs
+++ b/crates/recovery/tests/random_histories/fleet.rs
@@ -3,7 +3,8 @@
 use crate::event::{Event, MEMBERS};
 use pinetrestle_fleet::{MemberId, Token};
 use pinetrestle_recovery::{
-    AdmissionController, AdmissionDecision, Command, Outcome, Recovery, RecoveryCoordinator, RecoveryStage,
+    AdmissionController, AdmissionDecision, Command, Outcome, RecoveryCoordinator, RecoveryStage,
+    RecoveryState,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +34,7 @@
     now_ms: u64,
     term: u64,
     token: Token,
-    state: Recovery,
+    state: RecoveryState,
     coordinator: RecoveryCoordinator,
     members: BTreeMap<u64, Member>,
     /// Proposals that are neither committed nor lost yet.
@@ -88,7 +89,7 @@
             now_ms: 0,
             term: 0,
             token: Token(1),
-            state: Recovery::new(),
+            state: RecoveryState::new(),
             coordinator: RecoveryCoordinator::new(),
             members: (1..=MEMBERS).map(|id| (id, Member::new(id))).collect(),
             in_flight: Vec::new(),
--- a/crates/rollout/src/agent/mod.rs
+++ b/crates/rollout/src/agent/mod.rs
@@ -1,93 +1,98 @@
-//! The agent of one member's own front node: it starts the front node, keeps it up, and carries out the steps of
-//! releases.
+//! The agent of a member's own front node: it starts the front node, restarts it if it ends, and carries out
+//! the steps of releases.
 
 mod step;
 
 use crate::command::Command;
 use crate::node::Slot;
 use crate::plan::HealthCounters;
-use crate::state::Rollout;
+use crate::state::RolloutState;
 use pinetrestle_fleet::{MemberId, RetryTimer, RETRY_INTERVAL_MS};
 use std::collections::BTreeSet;
 use step::{Step, StepFailure, StepPhase};
 
-/// Longest time between two polls that counts, in milliseconds.
+/// Maximum time between two polls that is counted as elapsed, in milliseconds (see [`PolledTime`]).
 const MAX_POLL_GAP_MS: u64 = 250;
-/// Shortest time between two starts of a front node that ends by itself, in milliseconds.
+/// Minimum time between two starts of a front node that ends by itself, in milliseconds.
 const RESTART_BACKOFF_MS: u64 = 500;
 
-/// What the agent can see of its front node at a poll.
+/// The status of the front node when the agent is polled.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FrontNodeStatus {
-    /// The version of the live process, if there is one.
+    /// The version of the running process, or `None` if there is no process.
     pub running_version: Option<String>,
-    /// Whether its readiness check succeeds.
+    /// Whether the readiness check of the process succeeds.
     pub ready: bool,
-    /// What it has counted since its start, as last polled.
+    /// The counters of the process since its start, as last read.
     pub counters: HealthCounters,
 }
 
-/// Whether a front node that does not run may be started now.
+/// Whether a front node that is not running may be started now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartPermission {
-    /// With its usual settings.
+    /// It may be started with its normal settings.
     Normal,
-    /// Not yet.
+    /// It may not be started yet.
     Denied,
-    /// With its safe-mode settings: the fleet has no leader.
+    /// It may be started with its safe-mode settings, because the fleet has no leader.
     SafeMode,
 }
 
-/// What the driver of the front node's process has to do.
+/// An action on the front node's process, to be carried out by the caller of [`Agent::poll`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProcessAction {
     /// Start the front node with this version.
     Start(String),
     /// Start the front node with this version and its safe-mode settings.
     StartInSafeMode(String),
-    /// Begin its graceful shutdown: it answers what it took.
+    /// Begin the graceful shutdown of the front node, in which it still answers the queries that it has
+    /// accepted.
     Terminate,
-    /// End it at once: its graceful shutdown took too long.
+    /// Kill the front node's process, because its graceful shutdown took too long.
     Kill,
 }
 
-/// What an agent needs to know of its member and front node.
+/// The settings of an [`Agent`].
 #[derive(Debug, Clone)]
 pub struct AgentConfig {
-    /// The member whose front node it is.
+    /// The member that runs the agent and the front node.
     pub node: MemberId,
-    /// The versions the member can run.
+    /// The versions of the front node that the member can start.
     pub versions: BTreeSet<String>,
-    /// The version to start where neither a process nor the replicated state names one.
+    /// The version to start if no process is running and the replicated state names no version that the
+    /// member has.
     pub initial_version: String,
-    /// Reports of this incarnation are numbered above it; it lies above the numbers of all earlier incarnations.
+    /// The status reports of this incarnation of the member have higher sequence numbers than this, those of
+    /// all earlier incarnations have lower ones.
     pub report_seq_base: u64,
-    /// Milliseconds the front node's graceful shutdown may take.
+    /// Milliseconds that the graceful shutdown of the front node may take before its process is killed.
     pub stop_timeout_ms: u64,
-    /// Milliseconds the front node may take from its start until it is ready.
+    /// Milliseconds that the front node may take from its start until it is ready.
     pub start_timeout_ms: u64,
 }
 
-/// What one poll of the agent decided.
+/// The decisions of one [`Agent::poll`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AgentOutput {
     /// Commands to propose to the replicated log.
     pub commands: Vec<Command>,
-    /// What to do with the front node's process.
+    /// The action to take on the front node's process, if any.
     pub action: Option<ProcessAction>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Mode {
-    /// No step: this version is kept running.
+    /// The front node is not in a step: the agent keeps `version` running.
     Steady { version: String },
-    /// Under a begun slot.
+    /// The agent carries out a step whose slot has begun.
     InStep(Step),
 }
 
-/// The agent's own time: milliseconds in which it was polled. A pause between two polls counts at most
-/// [`MAX_POLL_GAP_MS`], since the agent has seen nothing meanwhile; so its own stall never looks like a front node
-/// that did not come up in time.
+/// Measures time for the agent's timeouts, without most of the time in which the agent was stalled.
+///
+/// The time between two polls counts as [`MAX_POLL_GAP_MS`] at most. Otherwise the timeouts would expire
+/// while the agent is stalled and can't observe the front node, and a front node would look as if it had not
+/// become ready in time.
 #[derive(Debug, Clone, Default)]
 struct PolledTime {
     elapsed_ms: u64,
@@ -95,6 +100,7 @@
 }
 
 impl PolledTime {
+    /// Counts the time from the last poll to `now_ms`, and returns all time counted so far in milliseconds.
     fn advance(&mut self, now_ms: u64) -> u64 {
         let gap_ms = now_ms.saturating_sub(self.last_poll_ms.unwrap_or(now_ms));
         self.elapsed_ms += gap_ms.min(MAX_POLL_GAP_MS);
@@ -103,14 +109,14 @@
     }
 }
 
-/// When [`Command::BeginStep`] for one slot is due again.
+/// Limits how often [`Command::BeginStep`] is proposed for the slot with the index `slot_index`.
 #[derive(Debug, Clone, Default)]
-struct BeginRequest {
+struct BeginProposal {
     slot_index: u64,
     retry: RetryTimer,
 }
 
-/// The last report proposed.
+/// The last status report that was proposed.
 #[derive(Debug, Clone)]
 struct LastReport {
     version: String,
@@ -118,12 +124,12 @@
     proposed_ms: u64,
 }
 
-/// The inputs of one poll.
+/// The inputs of one [`Agent::poll`].
 struct Poll<'a> {
-    /// The agent's own time ([`PolledTime`]).
+    /// The time of the poll in milliseconds, as counted by [`PolledTime`].
     now_ms: u64,
     status: &'a FrontNodeStatus,
-    state: &'a Rollout,
+    state: &'a RolloutState,
 }
 
 impl Poll<'_> {
@@ -136,7 +142,10 @@
     }
 }
 
-/// The agent of one front node. Times are milliseconds of its own process's monotonic clock.
+/// Decides when a member's front node is started and stopped, and which commands its member proposes for it.
+///
+/// Times are milliseconds of the monotonic clock of the agent's process. A pause between two polls counts as
+/// 250 ms at most, so that the timeouts do not expire while the agent itself is stalled.
 #[derive(Debug, Clone)]
 pub struct Agent {
     config: AgentConfig,
@@ -144,15 +153,16 @@
     next_report_seq: u64,
     last_report: Option<LastReport>,
     polled_time: PolledTime,
-    begin_request: BeginRequest,
-    /// When the agent's verdict on the step it is in is due again.
-    verdict_retry: RetryTimer,
+    begin_proposal: BeginProposal,
+    /// Limits how often the result of the current step ([`Command::StepFinished`] or [`Command::StepFailed`])
+    /// is proposed.
+    result_retry: RetryTimer,
     last_start_ms: Option<u64>,
     last_stop_ms: Option<u64>,
 }
 
 impl Agent {
-    /// An agent that has not been polled yet.
+    /// Creates an agent. It chooses the version to keep running at its first poll.
     pub fn new(config: AgentConfig) -> Agent {
         Agent {
             next_report_seq: config.report_seq_base + 1,
@@ -160,14 +170,14 @@
             mode: None,
             last_report: None,
             polled_time: PolledTime::default(),
-            begin_request: BeginRequest::default(),
-            verdict_retry: RetryTimer::default(),
+            begin_proposal: BeginProposal::default(),
+            result_retry: RetryTimer::default(),
             last_start_ms: None,
             last_stop_ms: None,
         }
     }
 
-    /// What it does now, in words, for the status.
+    /// Returns a short description of what the agent is doing, for the status.
     pub fn activity(&self) -> String {
         match &self.mode {
             None => "looking".to_owned(),
@@ -176,7 +186,7 @@
         }
     }
 
-    /// The index of the slot it acts under, if it is in a step.
+    /// Returns the index of the slot of the step that the agent is carrying out, if any.
     pub fn slot_index(&self) -> Option<u64> {
         match &self.mode {
             Some(Mode::InStep(step)) => Some(step.slot.index),
@@ -184,13 +194,15 @@
         }
     }
 
-    /// Decides at `now_ms` what to propose and what to do with the front node. `permission` says whether a front node
-    /// that does not run may be started; steps go on whatever it says.
+    /// Returns the commands to propose at `now_ms` and the action to take on the front node's process.
+    ///
+    /// `now_ms` is in milliseconds of the process's monotonic clock. `permission` says whether a front node
+    /// that is not running may be started. Steps do not depend on it.
     pub fn poll(
         &mut self,
         now_ms: u64,
         status: &FrontNodeStatus,
-        state: &Rollout,
+        state: &RolloutState,
         permission: StartPermission,
     ) -> AgentOutput {
         let poll = Poll { now_ms: self.polled_time.advance(now_ms), status, state };
@@ -198,7 +210,7 @@
         let slot = self.current_slot(state);
         let mode = match self.mode.take() {
             Some(Mode::InStep(step)) if slot.as_ref().is_none_or(|s| s.index != step.slot.index) => {
-                Mode::Steady { version: after_step(&poll, step) }
+                Mode::Steady { version: version_after_step(&poll, step) }
             }
             Some(Mode::InStep(step)) => self.poll_step(&poll, step, &mut output),
             Some(Mode::Steady { version }) => self.poll_steady(&poll, version, slot, permission, &mut output),
@@ -212,22 +224,24 @@
         output
     }
 
-    /// The slot the state grants this front node.
+    /// Returns the slot of this front node, unless the replicated state may be outdated.
     ///
-    /// A log read after a restart may show slots that ended long ago. Once it shows a report of this incarnation, it
-    /// shows all that was decided before this incarnation; until then the front node is kept up and nothing else.
-    fn current_slot(&self, state: &Rollout) -> Option<Slot> {
+    /// After a restart the member reads the log again, and the state may show a slot that has ended long ago.
+    /// Once the state shows a report of this incarnation, all log entries from before this incarnation have
+    /// been applied. Until then the agent ignores slots and only keeps the front node running.
+    fn current_slot(&self, state: &RolloutState) -> Option<Slot> {
         let node = state.node(self.config.node)?;
         let log_is_current = node.report_seq > self.config.report_seq_base;
         node.slot.clone().filter(|_| log_is_current)
     }
 
-    /// The version to keep from the first poll on: what runs, else what the state shows, else the configured one.
+    /// Returns the version to keep running from the first poll on: the running version, else the one in the
+    /// replicated state if the member has it, else the configured initial version.
     fn first_version(&self, poll: &Poll<'_>) -> String {
-        let reported = poll.state.node(self.config.node).map(|node| node.version.clone());
-        let known = reported.filter(|version| self.config.versions.contains(version));
+        let last_known = poll.state.node(self.config.node).map(|node| node.version.clone());
+        let available = last_known.filter(|version| self.config.versions.contains(version));
         let running = poll.status.running_version.clone();
-        running.or(known).unwrap_or_else(|| self.config.initial_version.clone())
+        running.or(available).unwrap_or_else(|| self.config.initial_version.clone())
     }
 
     fn poll_steady(
@@ -242,7 +256,7 @@
             Some(slot) if slot.begun && self.config.versions.contains(&slot.target_version) => {
                 return self.enter_step(poll, slot, output);
             }
-            Some(slot) => self.request_step(poll, &slot, output),
+            Some(slot) => self.propose_begin_step(poll, &slot, output),
             None => {}
         }
         if poll.nothing_runs() {
@@ -251,21 +265,22 @@
         Mode::Steady { version }
     }
 
-    /// Asks the log to begin the step under a granted slot, or refuses a step to a version this member does not have.
-    fn request_step(&mut self, poll: &Poll<'_>, slot: &Slot, output: &mut AgentOutput) {
+    /// Proposes to begin the step for which `slot` was granted, or reports the step as failed if this member
+    /// does not have the target version.
+    fn propose_begin_step(&mut self, poll: &Poll<'_>, slot: &Slot, output: &mut AgentOutput) {
         let node = self.config.node;
         if !self.config.versions.contains(&slot.target_version) {
-            if self.verdict_retry.due(poll.now_ms) {
+            if self.result_retry.fire_if_due(poll.now_ms) {
                 let failure = StepFailure::UnknownVersion { version: slot.target_version.clone() };
                 let reason = failure.to_string();
                 output.commands.push(Command::StepFailed { node, slot_index: slot.index, reason });
             }
             return;
         }
-        if self.begin_request.slot_index != slot.index {
-            self.begin_request = BeginRequest { slot_index: slot.index, retry: RetryTimer::default() };
+        if self.begin_proposal.slot_index != slot.index {
+            self.begin_proposal = BeginProposal { slot_index: slot.index, retry: RetryTimer::default() };
         }
-        if self.begin_request.retry.due(poll.now_ms) {
+        if self.begin_proposal.retry.fire_if_due(poll.now_ms) {
             output.commands.push(Command::BeginStep { node, slot_index: slot.index });
         }
     }
@@ -273,7 +288,7 @@
     fn enter_step(&mut self, poll: &Poll<'_>, slot: Slot, output: &mut AgentOutput) -> Mode {
         let phase = if poll.runs(&slot.target_version) { StepPhase::Starting } else { StepPhase::Stopping };
         self.last_stop_ms = None;
-        self.verdict_retry = RetryTimer::default();
+        self.result_retry = RetryTimer::default();
         self.poll_step(poll, Step { slot, phase, phase_since_ms: poll.now_ms }, output)
     }
 
@@ -292,7 +307,8 @@
         }
     }
 
-    /// Starts `version`, with a backoff of [`RESTART_BACKOFF_MS`] between starts.
+    /// Returns the action that starts `version`, or `None` if the last start is less than
+    /// [`RESTART_BACKOFF_MS`] ago.
     fn start(&mut self, now_ms: u64, version: &str) -> Option<ProcessAction> {
         if self.last_start_ms.is_some_and(|started_ms| now_ms < started_ms + RESTART_BACKOFF_MS) {
             return None;
@@ -301,7 +317,8 @@
         Some(ProcessAction::Start(version.to_owned()))
     }
 
-    /// Ends what runs: by graceful shutdown first, at once when that has taken the configured time.
+    /// Returns the next action that stops the running process, if any: first [`ProcessAction::Terminate`],
+    /// and [`ProcessAction::Kill`] if the process still runs after the configured stop timeout.
     fn stop(&mut self, now_ms: u64) -> Option<ProcessAction> {
         match self.last_stop_ms {
             None => {
@@ -316,18 +333,18 @@
         }
     }
 
-    /// Proposes a report when the state shows the front node otherwise than it is.
+    /// Proposes a status report if the replicated state differs from the front node's actual status.
     fn report_status(&mut self, poll: &Poll<'_>, mode: &Mode, output: &mut AgentOutput) {
         let node = self.config.node;
-        let Some(known) = poll.state.node(node) else { return };
+        let Some(node_state) = poll.state.node(node) else { return };
         let version = match (&poll.status.running_version, mode) {
             (Some(running), _) => running.clone(),
             (None, Mode::Steady { version }) => version.clone(),
             (None, Mode::InStep(step)) => step.slot.previous_version.clone(),
         };
         let ready = poll.status.running_version.is_some() && poll.status.ready;
-        let is_current = !known.unreachable && known.report_seq > self.config.report_seq_base;
-        if is_current && known.version == version && known.ready == ready {
+        let is_current = !node_state.unreachable && node_state.report_seq > self.config.report_seq_base;
+        if is_current && node_state.version == version && node_state.ready == ready {
             return;
         }
         let due = self.last_report.as_ref().is_none_or(|last| {
@@ -338,19 +355,22 @@
         if !due {
             return;
         }
-        let report_seq = self.next_report_seq.max(known.report_seq + 1);
+        let report_seq = self.next_report_seq.max(node_state.report_seq + 1);
         self.next_report_seq = report_seq + 1;
         self.last_report = Some(LastReport { version: version.clone(), ready, proposed_ms: poll.now_ms });
         output.commands.push(Command::ReportStatus { node, report_seq, version, ready });
     }
 }
 
-/// The version to keep once the state no longer shows the step's slot: the state has applied this agent's verdict, so
-/// it is the version that goes with that verdict, unless another one runs.
-fn after_step(poll: &Poll<'_>, step: Step) -> String {
-    let decided = match step.phase {
+/// Returns the version to keep running after a step, once the replicated state no longer shows the slot of
+/// the step.
+///
+/// The slot has ended because the result that this agent proposed was applied. If no process is running, the
+/// result determines the version.
+fn version_after_step(poll: &Poll<'_>, step: Step) -> String {
+    let version = match step.phase {
         StepPhase::Settling(_) => step.slot.target_version,
         _ => step.slot.previous_version,
     };
-    poll.status.running_version.clone().unwrap_or(decided)
+    poll.status.running_version.clone().unwrap_or(version)
 }
--- a/crates/rollout/src/agent/step.rs
+++ b/crates/rollout/src/agent/step.rs
@@ -1,33 +1,35 @@
-//! One step of a release at one front node: stop the previous version, start the target, observe it, say how it came
-//! out; or roll back to the previous version.
+//! A step of a release at one front node: the agent stops the previous version, starts the target version,
+//! observes it and reports the result. If the target version does not serve, the agent starts the previous
+//! version again.
 
 use super::{Agent, AgentOutput, Mode, Poll, ProcessAction, RESTART_BACKOFF_MS};
 use crate::command::Command;
 use crate::node::Slot;
 use crate::plan::HealthCounters;
 
-/// A step under a begun slot.
+/// A step that has begun, with its slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Step {
     pub(super) slot: Slot,
     pub(super) phase: StepPhase,
-    /// When the phase began, in the agent's own time.
+    /// When the phase began, in milliseconds as counted by [`super::PolledTime`].
     pub(super) phase_since_ms: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum StepPhase {
-    /// The previous version ends.
+    /// The previous version is shutting down.
     Stopping,
-    /// The target version comes up.
+    /// The target version was started and is not ready yet.
     Starting,
-    /// The target serves and is observed; with its counters at the beginning of the phase.
+    /// The target version serves and is observed. The value is its counters at the beginning of this phase.
     Settling(HealthCounters),
-    /// The target did not serve: back to the previous version, for this reason.
+    /// The target version did not serve for the given reason, and the previous version is started again.
     RollingBack(StepFailure),
 }
 
-/// Why an agent reports its step as failed. The text is stored as the reason of the failed step.
+/// The reason for which an agent reports its step as failed. The text is stored as the reason of the failed
+/// step.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum StepFailure {
     #[error("no version {version} here")]
@@ -41,7 +43,7 @@
 }
 
 impl Step {
-    /// What the agent does in this step, in words, for the status.
+    /// Returns a short description of what the agent is doing in this step, for the status.
     pub(super) fn activity(&self) -> String {
         let Slot { target_version, previous_version, .. } = &self.slot;
         match &self.phase {
@@ -54,7 +56,7 @@
 }
 
 impl Agent {
-    /// Carries the step on; a phase that changes counts its time anew.
+    /// Continues the step, and returns the mode with the phase in which the step is then.
     pub(super) fn poll_step(&mut self, poll: &Poll<'_>, step: Step, output: &mut AgentOutput) -> Mode {
         let Step { slot, phase, phase_since_ms } = step;
         let phase_before = std::mem::discriminant(&phase);
@@ -66,8 +68,8 @@
             }
             StepPhase::RollingBack(failure) => self.poll_rolling_back(poll, &slot, failure, output),
         };
-        let same_phase = std::mem::discriminant(&phase) == phase_before;
-        let phase_since_ms = if same_phase { phase_since_ms } else { poll.now_ms };
+        let is_same_phase = std::mem::discriminant(&phase) == phase_before;
+        let phase_since_ms = if is_same_phase { phase_since_ms } else { poll.now_ms };
         Mode::InStep(Step { slot, phase, phase_since_ms })
     }
 
@@ -102,9 +104,9 @@
         baseline: HealthCounters,
         output: &mut AgentOutput,
     ) -> StepPhase {
-        // Once the verdict that the target serves was proposed, it may be in the log: there is no way back from here,
-        // and a front node that ends now is started again like any other.
-        if poll.nothing_runs() && self.verdict_retry.attempted() {
+        // Once the success of the step has been proposed, it may be in the log already. So the agent must not
+        // roll back any more: if the target version ends now, it is started again.
+        if poll.nothing_runs() && self.result_retry.has_fired() {
             output.action = self.start(poll.now_ms, &slot.target_version);
             return StepPhase::Settling(baseline);
         }
@@ -112,7 +114,7 @@
             return StepPhase::RollingBack(StepFailure::EndedWhileObserved);
         }
         let settle_ms = poll.state.plan().map_or(0, |plan| plan.settle_ms);
-        if poll.now_ms >= since_ms + settle_ms && self.verdict_retry.due(poll.now_ms) {
+        if poll.now_ms >= since_ms + settle_ms && self.result_retry.fire_if_due(poll.now_ms) {
             output.commands.push(Command::StepFinished {
                 node: self.config.node,
                 slot_index: slot.index,
@@ -133,7 +135,7 @@
             output.action = self.start(poll.now_ms, &slot.previous_version);
         } else if !poll.runs(&slot.previous_version) {
             output.action = self.stop(poll.now_ms);
-        } else if poll.status.ready && self.verdict_retry.due(poll.now_ms) {
+        } else if poll.status.ready && self.result_retry.fire_if_due(poll.now_ms) {
             output.commands.push(Command::StepFailed {
                 node: self.config.node,
                 slot_index: slot.index,
--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -4,144 +4,158 @@
 use pinetrestle_fleet::{MemberId, Token};
 use serde::{Deserialize, Serialize};
 
-/// The fleet-wide task whose lease holder coordinates releases and ramps.
+/// The name of the fleet-wide task whose lease holder coordinates releases and ramps. Its lease is the
+/// "release lease".
 pub const RELEASE_TASK: &str = "release";
 
-/// One command of the replicated log.
+/// A command of the replicated log that [`RolloutState`](crate::RolloutState) applies.
+///
+/// The text in parentheses says who proposes the command. A command whose `id` is set by an operator takes
+/// effect once, however often it is applied.
 ///
 /// Stored in the log with postcard: the order of the variants and of their fields is the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Puts the plan of an operator file in force.
+    /// Puts a plan into force (leader, from its configuration file).
     Configure(Plan),
-    /// A front node's agent reports the front node's state.
+    /// Reports the state of a front node (agent).
     ReportStatus {
-        /// The member whose front node it is.
+        /// The member that runs the front node.
         node: MemberId,
-        /// Grows with each report of this member, across its restarts too.
+        /// The sequence number of the report. It increases with each report of the member, also across
+        /// restarts.
         report_seq: u64,
-        /// The version that runs or ran last.
+        /// The version that the front node runs or ran last.
         version: String,
-        /// Whether it serves.
+        /// Whether the front node serves.
         ready: bool,
     },
-    /// The leader has received nothing from a member since its report `report_seq`.
+    /// Declares a member unreachable, because it has sent the leader no message for too long (leader).
     DeclareUnreachable {
         /// The member.
         node: MemberId,
-        /// The sequence number of its last report; a later report makes the command void.
+        /// The sequence number of the member's last report. The command is refused if a later report was
+        /// applied.
         report_seq: u64,
     },
-    /// Begins a release (operators).
+    /// Begins a release (operator).
     Release {
-        /// The command's id.
+        /// The id of the command, which becomes the id of the release.
         id: String,
-        /// The version to go to.
+        /// The version to update all front nodes to.
         to_version: String,
     },
-    /// Grants `node` a slot for its step (coordinator).
+    /// Grants `node` a slot for its step of the running release (coordinator).
     GrantSlot {
-        /// The release lease's token.
+        /// The fencing token of the release lease.
         token: Token,
-        /// The front node.
+        /// The member that runs the front node.
         node: MemberId,
     },
-    /// The agent is about to stop its front node.
+    /// Begins the step under a granted slot; the agent stops its front node only after this is applied
+    /// (agent).
     BeginStep {
-        /// The member whose front node it is.
+        /// The member that runs the front node.
         node: MemberId,
-        /// The index of the slot it acts under.
+        /// The index of the granted slot.
         slot_index: u64,
     },
-    /// The agent's front node serves the slot's version and has been observed.
+    /// Ends the step: the front node serves the target version and has been observed (agent).
+    ///
+    /// The step has passed only if `health` shows no fault.
     StepFinished {
-        /// The member whose front node it is.
+        /// The member that runs the front node.
         node: MemberId,
-        /// The slot's index.
+        /// The index of the slot of the step.
         slot_index: u64,
-        /// What it counted while it was observed.
+        /// The counters of the front node while it was observed.
         health: HealthCounters,
     },
-    /// The agent could not bring the slot's version up; the previous one serves again, or nothing was stopped.
+    /// Ends the step as failed: the target version did not come up or ended early, and the previous version
+    /// serves again or was never stopped (agent).
     StepFailed {
-        /// The member whose front node it is.
+        /// The member that runs the front node.
         node: MemberId,
-        /// The slot's index.
+        /// The index of the slot of the step.
         slot_index: u64,
-        /// Why, in a few words.
+        /// The reason in a few words.
         reason: String,
     },
-    /// The step under the slot has taken longer than the plan allows (coordinator).
+    /// Records that a step has taken longer than the plan allows (coordinator).
     StepOverdue {
-        /// The release lease's token.
+        /// The fencing token of the release lease.
         token: Token,
-        /// The front node.
+        /// The member that runs the front node.
         node: MemberId,
-        /// The slot's index.
+        /// The index of the slot of the step.
         slot_index: u64,
     },
-    /// No new steps anywhere until a resume (operators).
+    /// Halts releases and drains: no release, step or drain begins and no ramp advances until a resume or a
+    /// rollback (operator).
     Halt {
-        /// The command's id.
+        /// The id of the command.
         id: String,
-        /// Why, shown in the status.
+        /// The reason, shown in the status.
         reason: String,
     },
-    /// Goes on after a halt; failed steps are retried (operators).
+    /// Ends a halt; failed steps are retried (operator).
     Resume {
-        /// The command's id.
+        /// The id of the command.
         id: String,
     },
-    /// Rolls back to the last good version by the same steps (operators).
+    /// Rolls the release back to the version that it replaces, with steps and slots as before (operator).
     Rollback {
-        /// The command's id.
+        /// The id of the command.
         id: String,
     },
-    /// Drains an index server (operators).
+    /// Drains an index server (operator).
     DrainServer {
-        /// The command's id.
+        /// The id of the command.
         id: String,
-        /// The server's name in discovery.
+        /// The name of the server in discovery.
         server: String,
     },
-    /// Brings a drained index server back, by the ramp (operators).
+    /// Ends the drain of an index server and begins its ramp (operator).
     ReturnServer {
-        /// The command's id.
+        /// The id of the command.
         id: String,
-        /// The server's name in discovery.
+        /// The name of the server in discovery.
         server: String,
     },
-    /// A front node's own endpoint list shows an index server as the change at `change_index` has it.
+    /// Acknowledges a change of an index server's phase: the front node's endpoint list shows the change
+    /// (member).
     AcknowledgeDrain {
-        /// The member whose front node it is.
+        /// The member that runs the front node.
         node: MemberId,
-        /// The server.
+        /// The name of the server in discovery.
         server: String,
         /// The log index of the acknowledged change.
         change_index: u64,
     },
-    /// Opens the next stage of a returning index server's ramp (coordinator).
+    /// Opens the next stage of an index server's ramp (coordinator).
     AdvanceRamp {
-        /// The release lease's token.
+        /// The fencing token of the release lease.
         token: Token,
-        /// The server.
+        /// The name of the server in discovery.
         server: String,
-        /// The log index of the change after which this follows.
+        /// The log index of the last change of the server's phase. The command is refused if a later change
+        /// was applied.
         change_index: u64,
     },
-    /// Discovery lists an index server so (from the leader's own endpoint list).
+    /// Records how discovery lists an index server (leader, from its own endpoint list).
     ObserveServer {
-        /// The server.
+        /// The name of the server in discovery.
         server: String,
-        /// Its zone.
+        /// The zone of the server.
         zone: String,
-        /// Whether it is listed as up.
+        /// Whether the server is listed as up.
         up: bool,
     },
 }
 
 impl Command {
-    /// The id of an operators' command, by which a repeat is recognized; `None` for commands of members.
+    /// Returns the id of an operator command, by which repeated commands are recognized, or `None` for a
+    /// command that a member proposes by itself.
     pub fn id(&self) -> Option<&str> {
         match self {
             Command::Release { id, .. }
@@ -154,7 +168,8 @@
         }
     }
 
-    /// The fencing token of a coordinator's command, which has to be that of the release lease; `None` for others.
+    /// Returns the fencing token of a coordinator's command, which has to be that of the release lease, or
+    /// `None` for other commands.
     pub(crate) fn token(&self) -> Option<Token> {
         match self {
             Command::GrantSlot { token, .. }
--- a/crates/rollout/src/node.rs
+++ b/crates/rollout/src/node.rs
@@ -1,31 +1,33 @@
-//! What the replicated state knows of one front node, and the slot it may hold.
+//! The replicated state of one front node, and the slot that permits its update.
 
 use serde::{Deserialize, Serialize};
 
-/// A place in the budget, granted for one front node's step.
+/// The permission for one front node to be unavailable while it is updated by its step of a release.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slot {
-    /// The log index of its grant, which identifies it and grows from slot to slot.
+    /// The log index of the command that granted the slot. It identifies the slot and is higher than that of
+    /// any earlier slot.
     pub index: u64,
-    /// The version the step goes to.
+    /// The version that the step updates to.
     pub target_version: String,
-    /// The version it leaves, and comes back to should the target not serve.
+    /// The version that the step replaces, and that is started again if the target version does not serve.
     pub previous_version: String,
-    /// Whether the agent has begun the step. Only a command of the agent ends the slot then.
+    /// Whether the agent has begun the step. From then on only a command of the agent ends the slot.
     pub begun: bool,
 }
 
-/// What is known of one front node.
+/// The replicated state of one front node.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeState {
-    /// The sequence number of its last report; 0 before the first.
+    /// The sequence number of the last status report; 0 before the first.
     pub report_seq: u64,
-    /// The version it reported; empty before its first report.
+    /// The version that the front node runs or ran last, by its last report or the result of a later step;
+    /// empty before the first report.
     pub version: String,
-    /// Whether it reported that it serves.
+    /// Whether the last report said that the front node serves.
     pub ready: bool,
-    /// Whether its member was declared unreachable since its last report.
+    /// Whether the member was declared unreachable after its last report.
     pub unreachable: bool,
-    /// Its slot, if it has one.
+    /// The slot that the front node holds, if any.
     pub slot: Option<Slot>,
 }
--- a/crates/rollout/src/outcome.rs
+++ b/crates/rollout/src/outcome.rs
@@ -1,62 +1,66 @@
-//! What applying a command decided, and the reasons for refusing one.
+//! The outcomes of commands, and the reasons for refusing a command.
 
 use crate::budget::BudgetExceeded;
 use crate::limits::MAX_NAME_BYTES;
 use serde::{Deserialize, Serialize};
 
-/// What applying a command decided.
+/// The result of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It took effect.
+    /// The command took effect.
     Applied,
-    /// Nothing to do: the state is so already.
+    /// The state was already as the command asks for.
     Unchanged,
-    /// Nothing changed, and why.
+    /// The command was refused and changed nothing.
     Refused(Refusal),
 }
 
-/// Why a command changed nothing.
+/// The reason why a command was refused.
 ///
 /// Stored in snapshots with postcard: the order of the variants and of their fields is the format.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum Refusal {
-    /// No plan is in force yet.
+    /// No plan has been applied from the log yet.
     #[error("no plan is agreed yet: a majority of members must be up")]
     NoPlan,
-    /// An empty or too long name, or one more than the state keeps.
-    #[error("a name is empty, over {MAX_NAME_BYTES} bytes, or one too many")]
+    /// A name is empty or too long, or the state already holds the maximum number of such names. Also the
+    /// refusal of a plan with no front nodes or too many.
+    #[error("a name is empty or longer than {MAX_NAME_BYTES} bytes, or there are too many names")]
     InvalidName,
-    /// The token is not that of the release lease.
+    /// The command's fencing token is not that of the release lease.
     #[error("the release lease is held under another token")]
     StaleToken,
-    /// All is halted.
-    #[error("all is halted: resume first")]
+    /// Releases and drains are halted.
+    #[error("releases and drains are halted: resume first")]
     Halted,
-    /// Another release runs.
-    #[error("release {id} runs: wait for its end, or roll it back")]
+    /// Another release is running.
+    #[error("release {id} is running: wait until it ends, or roll it back")]
     ReleaseInProgress {
-        /// Its id.
+        /// The id of the running release.
         id: String,
     },
-    /// There is no release that runs, or none to roll back.
+    /// No release is running, or there is none to roll back.
     #[error("there is no such release")]
     NoRelease,
-    /// The budget has no capacity left.
+    /// The budget is used up.
     #[error(transparent)]
     BudgetExceeded(#[from] BudgetExceeded),
-    /// The unit has a slot already, or is where it should be.
-    #[error("it is on its way already, or where it should be")]
+    /// The command does not fit the unit's state: a slot for a front node that holds one or whose step is not
+    /// waiting, the next ramp stage for an index server that is not ramping or is down, or a plan without a
+    /// front node that holds a slot.
+    #[error("it is being changed already, or needs no change")]
     NotEligible,
-    /// The canaries have not passed yet.
+    /// Front nodes other than the canaries have to wait until the canaries have passed.
     #[error("the canaries have not passed yet")]
     AwaitingCanaries,
-    /// The member is unreachable: nobody would carry the step out.
-    #[error("its member is not heard")]
+    /// The member is unreachable or has not reported yet, so it would not carry out the step. Also the
+    /// refusal of the first release if not all front nodes have reported the same version.
+    #[error("the member is unreachable, or its front node has not reported a version")]
     Unreachable,
-    /// No such front node or index server.
+    /// There is no such front node or index server.
     #[error("no such front node or index server is known")]
     UnknownUnit,
-    /// It repeats or refers to something from the past, as a slot that has ended.
-    #[error("it is from the past: the slot was given back or a later report is in")]
+    /// The command refers to a slot, report or change that is no longer the current one.
+    #[error("it is outdated: its slot has ended, or a later report or change was applied")]
     Stale,
 }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,74 +1,85 @@
-//! The plan all members agree on, and how a front node's counters are judged under it.
+//! The plan on which all members agree, and the health check of front nodes under that plan.
 
 use crate::budget::{Budget, BudgetExceeded};
 use pinetrestle_fleet::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What all members agree on before anything is drained: from the operator file with the highest revision.
+/// The settings for releases and drains, on which all members have to agree before anything is drained or
+/// released.
+///
+/// The plan in force is the one with the highest revision among the members' configuration files.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Grows with each change; a plan whose revision is not higher than the one in force changes nothing.
+    /// The revision of the plan, which increases with each change. A plan whose revision is not higher than
+    /// that of the plan in force changes nothing.
     pub revision: u64,
     /// The front nodes, one per member.
     pub nodes: BTreeMap<MemberId, NodePlan>,
-    /// Bounds on the front nodes that may be away at once.
+    /// Limits on the front nodes that may be unavailable at the same time.
     pub node_budget: Budget,
-    /// Bounds on the index servers that may be away at once.
+    /// Limits on the index servers that may be unavailable at the same time.
     pub server_budget: Budget,
-    /// Number of front nodes that go first; the others wait until these have passed.
+    /// Number of canaries: front nodes that are updated first, while the others wait until all canaries have
+    /// passed.
     pub canary_nodes: u32,
-    /// Failed steps a release tolerates; the next one halts it. 0: the first one does.
+    /// Maximum number of failed steps before a release is halted; with 0, the first failed step halts it.
     pub max_failed_steps: u32,
-    /// Failed queries per thousand that a front node may show after its step.
+    /// Maximum share of failed queries, in thousandths, that a front node may show while it is observed after
+    /// its update.
     pub max_failed_queries_per_mille: u32,
-    /// Milliseconds a step may take from its slot to its verdict, on the coordinator's clock.
+    /// Milliseconds that a step may take from the grant of its slot to its end, on the coordinator's clock.
     pub step_timeout_ms: u64,
-    /// Milliseconds a front node serves after its step before it is judged, on its agent's clock.
+    /// Milliseconds for which an updated front node serves and is observed before its step ends, on its
+    /// agent's clock.
     pub settle_ms: u64,
     /// Milliseconds without a message after which the leader declares a member unreachable.
     pub unreachable_after_ms: u64,
-    /// Number of stages in which front nodes send to a returning index server: stage i of n opens it to i/n of them.
+    /// Number of stages of the ramp of a returning index server. In stage i of n, i/n of the front nodes send
+    /// to it.
     pub ramp_stages: u32,
-    /// Milliseconds of one such stage, on the coordinator's clock.
+    /// Milliseconds that each stage of a ramp lasts, on the coordinator's clock.
     pub ramp_stage_ms: u64,
 }
 
 impl Plan {
-    /// Whether one more front node, `node`, may go while `away` are away already.
+    /// Checks whether `node` may become unavailable while the front nodes in `unavailable` are unavailable
+    /// already.
     ///
     /// # Errors
-    /// [`BudgetExceeded`] with the bound that has no capacity left.
+    /// [`BudgetExceeded`] with the limit that is used up.
     pub fn check_node_budget(
         &self,
         node: MemberId,
-        away: impl Iterator<Item = MemberId>,
+        unavailable: impl Iterator<Item = MemberId>,
     ) -> Result<(), BudgetExceeded> {
         let zone_of = |member: MemberId| self.nodes.get(&member).and_then(|plan| plan.zone.as_deref());
-        self.node_budget.check(self.nodes.len(), zone_of(node), away.map(zone_of))
+        self.node_budget.check(self.nodes.len(), zone_of(node), unavailable.map(zone_of))
     }
 }
 
-/// One front node in the plan.
+/// The settings of one front node in the plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodePlan {
-    /// Its zone, if there are zones.
+    /// The zone of the front node; `None` if it is in no zone.
     pub zone: Option<String>,
 }
 
-/// What a front node counted while it was observed after its step.
+/// Counters of a front node by which its health is checked after an update.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthCounters {
-    /// Queries answered, complete or partial.
+    /// Number of queries answered, completely or partially.
     pub answered: u64,
-    /// Queries that failed.
+    /// Number of queries that failed.
     pub failed: u64,
-    /// Defects its own counters show: attempts in flight after their query's end, restarts of its decision core.
+    /// Number of internal errors that the front node counted: attempts still in flight after the end of their
+    /// query, and restarts of its decision core.
     pub defects: u64,
 }
 
 impl HealthCounters {
-    /// The queries counted since `baseline` was read from the same counters; defects count from the process's start.
+    /// Returns the queries counted since `baseline` was read from the same counters. The defects are still
+    /// those counted since the process started.
     pub(crate) fn since(&self, baseline: HealthCounters) -> HealthCounters {
         HealthCounters {
             answered: self.answered.saturating_sub(baseline.answered),
@@ -77,7 +88,7 @@
         }
     }
 
-    /// The fault these counters show under `plan`, if any.
+    /// Returns the fault that these counters show by the limits of `plan`, if any.
     pub fn fault(&self, plan: &Plan) -> Option<HealthFault> {
         let queries = self.answered + self.failed;
         let max_failed_per_mille = u64::from(plan.max_failed_queries_per_mille);
@@ -91,13 +102,14 @@
     }
 }
 
-/// Why a front node's counters fail its step. The text is stored as the reason of the failed step.
+/// A fault of a front node, shown by its counters, that makes its step fail. The text is stored as the reason
+/// of the failed step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HealthFault {
-    /// It counted a defect of its own.
+    /// The front node counted an internal error.
     #[error("its counters show a defect")]
     Defect,
-    /// More of its queries failed than the plan allows.
+    /// The share of failed queries is higher than the plan allows.
     #[error("too many failed queries")]
     TooManyFailedQueries,
 }
--- a/crates/rollout/src/release.rs
+++ b/crates/rollout/src/release.rs
@@ -1,4 +1,5 @@
-//! A release over all front nodes: its direction, its stage, and the step of each front node.
+//! A release, which updates all front nodes to a new version: its direction, its stage, and the step of each
+//! front node.
 
 use crate::plan::Plan;
 use pinetrestle_fleet::MemberId;
@@ -8,13 +9,13 @@
 /// The state of one front node's step in a release.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StepState {
-    /// It has no slot yet.
+    /// The front node has not been granted a slot for the step yet.
     Waiting,
-    /// It has a slot.
+    /// The front node holds a slot for the step.
     InProgress,
-    /// It serves the release's version and was found healthy.
+    /// The front node serves the release's version and its counters showed no fault.
     Passed,
-    /// It failed, and why. The front node counts as away until it passes.
+    /// The step failed for the given reason. The front node counts as unavailable until its step passes.
     Failed(String),
 }
 
@@ -24,47 +25,47 @@
     }
 }
 
-/// Which way a release goes.
+/// The direction of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Direction {
-    /// To a new version.
+    /// The front nodes are updated to the new version.
     Forward,
-    /// Back to the last good version.
+    /// The front nodes are rolled back to the version that the release replaces.
     Backward,
 }
 
 /// The stage of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseStage {
-    /// It goes on, unless all is halted.
+    /// Not every front node has passed yet. The release proceeds unless it is halted.
     Running,
-    /// Every front node passed.
+    /// Every front node has passed.
     Completed,
-    /// Every front node is back on the version the release left.
+    /// Every front node is back on the version that the release replaces.
     RolledBack,
 }
 
-/// A release, the running or the last one.
+/// A release that is running or has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// The id of the command that began it.
+    /// The id of the release: that of the command that began it.
     pub id: String,
-    /// The version it leaves.
+    /// The version that the release replaces.
     pub from_version: String,
-    /// The version it brings.
+    /// The version that the release introduces.
     pub to_version: String,
-    /// Which way it goes now.
+    /// The current direction: forward, or backward once a rollback was commanded.
     pub direction: Direction,
-    /// Its stage.
+    /// The current stage.
     pub stage: ReleaseStage,
-    /// Each front node's step.
+    /// The state of each front node's step.
     pub steps: BTreeMap<MemberId, StepState>,
-    /// Steps that failed since it began, was resumed or was rolled back.
+    /// Number of failed steps since the release began, was last resumed, or was rolled back.
     pub failed_steps: u32,
 }
 
 impl Release {
-    /// The version its steps go to now.
+    /// Returns the version to which the steps update the front nodes in the current direction.
     pub fn target_version(&self) -> &str {
         match self.direction {
             Direction::Forward => &self.to_version,
@@ -72,16 +73,18 @@
         }
     }
 
-    /// The front nodes whose steps are in a state that `wanted` accepts, in the order of their ids.
+    /// Returns the front nodes whose step state `matches` accepts, in the order of their ids.
     pub(crate) fn nodes_with<'a>(
         &'a self,
-        wanted: impl Fn(&StepState) -> bool + 'a,
+        matches: impl Fn(&StepState) -> bool + 'a,
     ) -> impl Iterator<Item = MemberId> + 'a {
-        self.steps.iter().filter(move |(_, step)| wanted(step)).map(|(node, _)| *node)
+        self.steps.iter().filter(move |(_, step)| matches(step)).map(|(node, _)| *node)
     }
 
-    /// Whether all others wait for the canaries, which go first and alone. A rollback is to a version known good and
-    /// has no canaries.
+    /// Returns whether further front nodes have to wait until the canaries have passed.
+    ///
+    /// The canaries are the first [`Plan::canary_nodes`] front nodes that get a slot. A rollback has no
+    /// canaries, because it returns to a version that is known to be good.
     pub(crate) fn awaits_canaries(&self, plan: &Plan) -> bool {
         let canaries = (plan.canary_nodes as usize).min(plan.nodes.len());
         let passed = self.nodes_with(|step| *step == StepState::Passed).count();
@@ -90,11 +93,11 @@
     }
 }
 
-/// A halt of all new steps.
+/// A halt of releases and drains: no release, step or drain begins and no ramp advances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Halt {
-    /// The id of the command, or `failures` for a release that halted itself.
+    /// The id of the operator's command, or `failures` for a halt that was caused by failed steps.
     pub id: String,
-    /// Why.
+    /// The reason of the halt, shown in the status.
     pub reason: String,
 }
--- a/crates/rollout/src/servers.rs
+++ b/crates/rollout/src/servers.rs
@@ -1,4 +1,5 @@
-//! Index servers as the fleet sees them: drained and brought back for all front nodes at once.
+//! The replicated state of index servers, which are drained and opened again for all front nodes of the fleet
+//! together.
 
 use crate::limits::{is_valid_name, MAX_SERVERS};
 use crate::outcome::{Outcome, Refusal};
@@ -7,37 +8,40 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where an index server stands for the fleet.
+/// The phase of an index server: which front nodes send to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerPhase {
-    /// All front nodes send to it.
+    /// All front nodes may send to the server.
     Serving,
-    /// No front node is to send to it; not every front node has acknowledged that yet.
+    /// No front node may send to the server, but not every front node has acknowledged the drain yet.
     Draining,
-    /// Every front node has acknowledged the drain: it may be stopped once its last parts are answered.
+    /// Every front node has acknowledged the drain. The server may be stopped once it has answered its last
+    /// parts.
     Drained,
-    /// Coming back: so many stages of the plan's ramp are open.
+    /// The server returns to service. The value is the number of the ramp's stages that are open.
     Ramping(u32),
 }
 
-/// One index server.
+/// The replicated state of one index server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerState {
-    /// Its zone.
+    /// The zone of the server.
     pub zone: String,
-    /// Whether discovery lists it as up.
+    /// Whether discovery lists the server as up.
     pub up: bool,
-    /// Its phase.
+    /// The phase of the server.
     pub phase: ServerPhase,
-    /// The log index of the last change of phase by a command on this server; 0 before the first.
+    /// The log index of the last command that changed the phase of this server; 0 before the first. The
+    /// change from draining to drained does not count, because it is caused by the last acknowledgement of
+    /// the same change.
     pub change_index: u64,
-    /// Front nodes whose endpoint list shows this change.
+    /// The front nodes that have acknowledged the change at `change_index`: their endpoint lists show it.
     pub acknowledged_by: BTreeSet<MemberId>,
 }
 
 impl ServerState {
-    /// Whether it counts against the budget: drained by the fleet, or not up by itself.
-    pub fn is_away(&self) -> bool {
+    /// Returns whether the server counts against the budget: it is down, or its phase is not serving.
+    pub fn is_unavailable(&self) -> bool {
         !self.up || self.phase != ServerPhase::Serving
     }
 
@@ -52,7 +56,7 @@
     }
 }
 
-/// All index servers known, by name.
+/// The replicated state of all known index servers, by name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ServerTable {
     servers: BTreeMap<String, ServerState>,
@@ -67,13 +71,13 @@
         self.servers.iter().map(|(name, state)| (name.as_str(), state))
     }
 
-    /// Takes over what discovery lists; a server seen for the first time is serving.
+    /// Records how discovery lists `server`. A server that is new to the table starts as serving.
     pub(crate) fn observe(&mut self, server: &str, zone: &str, up: bool) -> Result<Outcome, Refusal> {
         if let Some(state) = self.servers.get_mut(server) {
-            let is_same = state.up == up && state.zone == zone;
+            let is_unchanged = state.up == up && state.zone == zone;
             state.up = up;
             state.zone = zone.to_owned();
-            return Ok(if is_same { Outcome::Unchanged } else { Outcome::Applied });
+            return Ok(if is_unchanged { Outcome::Unchanged } else { Outcome::Applied });
         }
         if !is_valid_name(server) || self.servers.len() >= MAX_SERVERS {
             return Err(Refusal::InvalidName);
@@ -89,16 +93,17 @@
         Ok(Outcome::Applied)
     }
 
-    /// Begins to drain `server`, within the budget of `plan`.
+    /// Begins to drain `server`, if the server budget of `plan` allows it.
     pub(crate) fn drain(&mut self, index: u64, server: &str, plan: &Plan) -> Result<Outcome, Refusal> {
         let state = self.servers.get(server).ok_or(Refusal::UnknownUnit)?;
         match state.phase {
             ServerPhase::Draining | ServerPhase::Drained => return Ok(Outcome::Unchanged),
             ServerPhase::Serving | ServerPhase::Ramping(_) => {}
         }
-        let others_away = self.servers.iter().filter(|(name, other)| *name != server && other.is_away());
-        let zones_away = others_away.map(|(_, other)| Some(other.zone.as_str()));
-        plan.server_budget.check(self.servers.len(), Some(&state.zone), zones_away)?;
+        let unavailable =
+            self.servers.iter().filter(|(name, other)| *name != server && other.is_unavailable());
+        let unavailable_zones = unavailable.map(|(_, other)| Some(other.zone.as_str()));
+        plan.server_budget.check(self.servers.len(), Some(&state.zone), unavailable_zones)?;
         if let Some(state) = self.servers.get_mut(server) {
             state.change_phase(ServerPhase::Draining, index);
         }
@@ -106,8 +111,8 @@
         Ok(Outcome::Applied)
     }
 
-    /// Brings a drained server back: opens the first stage of its ramp.
-    pub(crate) fn bring_back(&mut self, index: u64, server: &str) -> Result<Outcome, Refusal> {
+    /// Ends the drain of `server` and opens the first stage of its ramp.
+    pub(crate) fn begin_ramp(&mut self, index: u64, server: &str) -> Result<Outcome, Refusal> {
         let state = self.servers.get_mut(server).ok_or(Refusal::UnknownUnit)?;
         match state.phase {
             ServerPhase::Draining | ServerPhase::Drained => {
@@ -118,20 +123,22 @@
         }
     }
 
-    /// `node` acknowledges the change of `server` at `change_index`.
+    /// Records that `node` has acknowledged the change of `server` at `change_index`.
     pub(crate) fn acknowledge(
         &mut self,
         node: MemberId,
         server: &str,
         change_index: u64,
     ) -> Result<Outcome, Refusal> {
-        let state = self.at_change(server, change_index)?;
+        let state = self.server_at_change(server, change_index)?;
         let is_new = state.acknowledged_by.insert(node);
         Ok(if is_new { Outcome::Applied } else { Outcome::Unchanged })
     }
 
-    /// Ends the drains that every front node of `plan` has acknowledged. An unreachable member may have a front node
-    /// that still sends: the drain waits until that member is back and has acknowledged it.
+    /// Changes every draining server to drained whose drain was acknowledged by all front nodes of `plan`.
+    ///
+    /// That includes the front nodes of unreachable members, which may still send to the server: the drain
+    /// waits until such a member is reachable again and has acknowledged it.
     pub(crate) fn finish_acknowledged_drains(&mut self, plan: &Plan) {
         for state in self.servers.values_mut() {
             if state.phase == ServerPhase::Draining && state.is_acknowledged_by_all(plan) {
@@ -140,7 +147,8 @@
         }
     }
 
-    /// Opens the next stage of a ramp after the change at `change_index`; after the last stage the server serves.
+    /// Opens the next stage of the ramp of `server`, or changes the server to serving after the last stage.
+    /// `change_index` has to be the log index of the server's last change.
     pub(crate) fn advance_ramp(
         &mut self,
         index: u64,
@@ -148,7 +156,7 @@
         change_index: u64,
         ramp_stages: u32,
     ) -> Result<Outcome, Refusal> {
-        let state = self.at_change(server, change_index)?;
+        let state = self.server_at_change(server, change_index)?;
         let ServerPhase::Ramping(stage) = state.phase else { return Err(Refusal::NotEligible) };
         if !state.up {
             return Err(Refusal::NotEligible);
@@ -158,8 +166,8 @@
         Ok(Outcome::Applied)
     }
 
-    /// The server, if its last change is the one at `change_index`.
-    fn at_change(&mut self, server: &str, change_index: u64) -> Result<&mut ServerState, Refusal> {
+    /// Returns the state of `server` if its last change is the one at `change_index`.
+    fn server_at_change(&mut self, server: &str, change_index: u64) -> Result<&mut ServerState, Refusal> {
         let state = self.servers.get_mut(server).ok_or(Refusal::UnknownUnit)?;
         if state.change_index == change_index {
             Ok(state)
--- a/crates/rollout/src/state/halts.rs
+++ b/crates/rollout/src/state/halts.rs
@@ -1,16 +1,16 @@
-//! Halts: by operators, or by a release itself after failed steps; and the resume.
+//! Halts, which operators command or failed steps cause, and the resume after a halt.
 
-use super::Rollout;
+use super::RolloutState;
 use crate::limits::{truncated, MAX_HALT_REASON_CHARS};
 use crate::outcome::Outcome;
 use crate::release::{Halt, StepState};
 use pinetrestle_fleet::MemberId;
 
-/// The id of a halt by the release itself.
+/// The id of a halt that was caused by failed steps of a release.
 const FAILURES_HALT_ID: &str = "failures";
 
-impl Rollout {
-    pub(super) fn halt_by_operators(&mut self, id: &str, reason: &str) -> Outcome {
+impl RolloutState {
+    pub(super) fn halt_by_operator(&mut self, id: &str, reason: &str) -> Outcome {
         if self.halt.is_some() {
             return Outcome::Unchanged;
         }
@@ -31,31 +31,34 @@
         Outcome::Applied
     }
 
-    /// Counts a failed step; halts when the plan tolerates no more.
+    /// Counts a failed step of `node`, and halts if the release has had more failed steps than the plan
+    /// allows.
     pub(super) fn count_failed_step(&mut self, node: MemberId, reason: &str) {
-        let tolerated = self.plan.as_ref().map_or(0, |plan| plan.max_failed_steps);
+        let max_failed_steps = self.plan.as_ref().map_or(0, |plan| plan.max_failed_steps);
         let Some(release) = self.release.as_mut() else { return };
         release.failed_steps += 1;
-        if release.failed_steps > tolerated && self.halt.is_none() {
+        if release.failed_steps > max_failed_steps && self.halt.is_none() {
             let failed_steps = release.failed_steps;
             let reason = format!("{failed_steps} failed steps, the last of front node {}: {reason}", node.0);
             self.begin_halt(FAILURES_HALT_ID, reason);
         }
     }
 
-    /// Halts a release that no step can move any more: the failed ones fill the budget, hold the canaries' places, or
-    /// are all that is left. Without the halt it would neither go on nor show that it waits for its operators.
+    /// Halts a release in which failed steps prevent every further step: they use up the budget, count as
+    /// canaries that have not passed, or are the only steps that have not passed. Without the halt, such a
+    /// release would neither proceed nor show that it needs an operator.
     pub(super) fn halt_if_stuck(&mut self) {
         if self.halt.is_some() {
             return;
         }
-        let Some(failed_steps) = self.stuck_on_failed_steps() else { return };
+        let Some(failed_steps) = self.failed_steps_if_stuck() else { return };
         let reason = format!("{failed_steps} failed steps leave no front node that may go");
         self.begin_halt(FAILURES_HALT_ID, reason);
     }
 
-    /// The number of failed steps, if they leave the running release no step that may go on.
-    fn stuck_on_failed_steps(&self) -> Option<usize> {
+    /// Returns the number of failed steps if no other step of the running release can proceed because of
+    /// them.
+    fn failed_steps_if_stuck(&self) -> Option<usize> {
         let plan = self.plan.as_ref()?;
         let release = self.running_release()?;
         let failed: Vec<MemberId> = release.nodes_with(StepState::is_failed).collect();
@@ -63,20 +66,20 @@
         if failed.is_empty() || in_progress.is_some() {
             return None;
         }
-        let may_go = |node: MemberId| plan.check_node_budget(node, failed.iter().copied()).is_ok();
-        let any_may_go = release.nodes_with(|step| *step == StepState::Waiting).any(may_go);
-        let is_stuck = release.awaits_canaries(plan) || !any_may_go;
+        let fits_budget = |node: MemberId| plan.check_node_budget(node, failed.iter().copied()).is_ok();
+        let any_can_proceed = release.nodes_with(|step| *step == StepState::Waiting).any(fits_budget);
+        let is_stuck = release.awaits_canaries(plan) || !any_can_proceed;
         is_stuck.then_some(failed.len())
     }
 
-    /// Halts, and revokes the slots that have not begun, so that no step begins after this entry of the log.
+    /// Halts, and revokes the slots whose steps have not begun, so that no step begins after this log entry.
     fn begin_halt(&mut self, id: &str, reason: String) {
         self.halt = Some(Halt { id: id.to_owned(), reason });
-        self.revoke_unbegun_slots();
+        self.revoke_slots_not_begun();
     }
 
-    /// Revokes the slots that have not begun; the front nodes' turns come again.
-    pub(super) fn revoke_unbegun_slots(&mut self) {
+    /// Revokes the slots whose steps have not begun, and sets those steps back to waiting.
+    pub(super) fn revoke_slots_not_begun(&mut self) {
         for (id, node) in &mut self.nodes {
             let revoked = node.slot.take_if(|slot| !slot.begun);
             if let (Some(_), Some(release)) = (revoked, self.release.as_mut()) {
--- a/crates/rollout/src/state/nodes.rs
+++ b/crates/rollout/src/state/nodes.rs
@@ -1,6 +1,6 @@
-//! The plan, the front nodes' reports, and which front nodes count as away.
+//! Commands that change the plan or the reported state of front nodes, and the budget check for front nodes.
 
-use super::Rollout;
+use super::RolloutState;
 use crate::budget::BudgetExceeded;
 use crate::limits::is_valid_name;
 use crate::outcome::{Outcome, Refusal};
@@ -8,9 +8,10 @@
 use crate::release::{ReleaseStage, StepState};
 use pinetrestle_fleet::{MemberId, MAX_MEMBERS};
 
-impl Rollout {
-    /// Whether a front node counts as away: it holds a slot, is unreachable, does not serve, or failed its step.
-    pub fn is_away(&self, node: MemberId) -> bool {
+impl RolloutState {
+    /// Returns whether a front node counts against the budget: it holds a slot, its member is unreachable, it
+    /// does not serve, or its step of the running release failed. An unknown front node is unavailable.
+    pub fn is_unavailable(&self, node: MemberId) -> bool {
         let step = self.running_release().and_then(|release| release.steps.get(&node));
         if step.is_some_and(StepState::is_failed) {
             return true;
@@ -18,18 +19,26 @@
         self.nodes.get(&node).is_none_or(|state| state.slot.is_some() || state.unreachable || !state.ready)
     }
 
-    /// Whether `node` may take a slot now, as far as the budget goes. A front node that is away already uses up no
-    /// further capacity: it may go as soon as those away are within the budget at all.
+    /// Checks whether the budget allows `node` to be unavailable, in addition to all other front nodes that
+    /// are.
+    ///
+    /// `node` itself is not counted twice: if it is unavailable already, a slot for it uses no further
+    /// capacity.
     ///
     /// # Errors
-    /// [`BudgetExceeded`] with the bound that has no capacity left.
+    /// [`BudgetExceeded`] with the limit that is used up.
     pub fn check_budget(&self, plan: &Plan, node: MemberId) -> Result<(), BudgetExceeded> {
-        let others_away = plan.nodes.keys().copied().filter(|other| *other != node && self.is_away(*other));
-        plan.check_node_budget(node, others_away)
+        let others = plan.nodes.keys().copied();
+        let unavailable = others.filter(|other| *other != node && self.is_unavailable(*other));
+        plan.check_node_budget(node, unavailable)
     }
 
-    /// The same check, counting as away only the holders of slots.
-    pub(super) fn check_step_budget(&self, plan: &Plan, node: MemberId) -> Result<(), BudgetExceeded> {
+    /// Checks whether the budget allows a slot for `node` if only front nodes that hold slots count as
+    /// unavailable.
+    ///
+    /// # Errors
+    /// [`BudgetExceeded`] with the limit that is used up.
+    pub(super) fn check_slot_budget(&self, plan: &Plan, node: MemberId) -> Result<(), BudgetExceeded> {
         let others = self.nodes.iter().filter(|(other, state)| **other != node && state.slot.is_some());
         plan.check_node_budget(node, others.map(|(other, _)| *other))
     }
@@ -38,22 +47,24 @@
         if plan.nodes.is_empty() || plan.nodes.len() > MAX_MEMBERS {
             return Err(Refusal::InvalidName);
         }
-        if self.plan.as_ref().is_some_and(|known| known.revision >= plan.revision) {
+        if self.plan.as_ref().is_some_and(|current| current.revision >= plan.revision) {
             return Ok(Outcome::Unchanged);
         }
-        // A front node may not leave the plan while it holds a slot: its place in the budget would be lost.
+        // A front node can't be removed from the plan while it holds a slot: it may be down, but would no
+        // longer count against the budget.
         if self.nodes.iter().any(|(id, node)| node.slot.is_some() && !plan.nodes.contains_key(id)) {
             return Err(Refusal::NotEligible);
         }
-        self.adopt_nodes(plan);
+        self.replace_nodes(plan);
         self.plan = Some(plan.clone());
         self.servers.finish_acknowledged_drains(plan);
         self.complete_release_if_all_passed();
         Ok(Outcome::Applied)
     }
 
-    /// Drops the front nodes that are not in `plan` and adds its new ones, also to a running release.
-    fn adopt_nodes(&mut self, plan: &Plan) {
+    /// Removes the front nodes that are not in `plan`, and adds those that are new in it, also in a running
+    /// release.
+    fn replace_nodes(&mut self, plan: &Plan) {
         self.nodes.retain(|id, _| plan.nodes.contains_key(id));
         for id in plan.nodes.keys() {
             self.nodes.entry(*id).or_default();
@@ -83,13 +94,14 @@
         state.version = version.to_owned();
         state.ready = ready;
         state.unreachable = false;
-        self.reopen_step_at_other_version(node, version);
+        self.reopen_step_if_version_differs(node, version);
         Ok(Outcome::Applied)
     }
 
-    /// A front node that passed and then reports another version (it was started from an old state) has its step
-    /// before it again, also in a release that had ended.
-    fn reopen_step_at_other_version(&mut self, node: MemberId, version: &str) {
+    /// Sets the step of `node` back to waiting if the step had passed and the front node now reports a
+    /// version other than the release's target, as happens if the front node was started from an old state. A
+    /// release that had ended runs again.
+    fn reopen_step_if_version_differs(&mut self, node: MemberId, version: &str) {
         let Some(release) = self.release.as_mut() else { return };
         if version == release.target_version() {
             return;
--- a/crates/rollout/src/state/releases.rs
+++ b/crates/rollout/src/state/releases.rs
@@ -1,13 +1,13 @@
-//! Releases: begun, completed, rolled back.
+//! Commands that begin a release or roll it back, and the completion of a release.
 
-use super::Rollout;
+use super::RolloutState;
 use crate::limits::is_valid_name;
 use crate::node::NodeState;
 use crate::outcome::{Outcome, Refusal};
 use crate::release::{Direction, Release, ReleaseStage, StepState};
 use std::collections::BTreeSet;
 
-impl Rollout {
+impl RolloutState {
     pub(super) fn begin_release(&mut self, id: &str, to_version: &str) -> Result<Outcome, Refusal> {
         let plan = self.plan.as_ref().ok_or(Refusal::NoPlan)?;
         if !is_valid_name(to_version) {
@@ -17,7 +17,7 @@
             return Err(Refusal::ReleaseInProgress { id: running.id.clone() });
         }
         self.require_no_halt()?;
-        let from_version = self.version_to_leave().ok_or(Refusal::Unreachable)?;
+        let from_version = self.version_to_replace().ok_or(Refusal::Unreachable)?;
         let steps = plan.nodes.keys().map(|node| (*node, StepState::Waiting)).collect();
         self.release = Some(Release {
             id: id.to_owned(),
@@ -31,9 +31,10 @@
         Ok(Outcome::Applied)
     }
 
-    /// The version a new release leaves: the last good one; before the first release, the one that the front nodes
-    /// report. They have to agree on it, or there would be no one version to come back to.
-    fn version_to_leave(&self) -> Option<String> {
+    /// Returns the version that a new release replaces: the last good version or, before the first release,
+    /// the version that all front nodes report. Returns `None` if they report different versions, since there
+    /// would not be a single version to roll back to.
+    fn version_to_replace(&self) -> Option<String> {
         if !self.last_good_version.is_empty() {
             return Some(self.last_good_version.clone());
         }
@@ -42,7 +43,7 @@
         Some((*version).to_owned())
     }
 
-    /// Ends a release whose every front node passed.
+    /// Ends the running release if the steps of all front nodes have passed.
     pub(super) fn complete_release_if_all_passed(&mut self) {
         let Some(release) = self.running_release_mut() else { return };
         if release.steps.values().any(|step| *step != StepState::Passed) {
@@ -56,12 +57,15 @@
         self.last_good_version = version;
     }
 
-    /// Turns the release back. The rollback is the operators' decision to go on, so it ends a halt; slots granted for
-    /// the way forward that have not begun are revoked.
+    /// Rolls the release back to the version that it replaces.
+    ///
+    /// A rollback is an operator's decision to proceed, so it ends a halt. Slots that were granted for steps
+    /// to the new version and whose steps have not begun are revoked.
     pub(super) fn rollback(&mut self) -> Result<Outcome, Refusal> {
         let release = self.release.as_mut().ok_or(Refusal::NoRelease)?;
-        let runs_back = release.direction == Direction::Backward && release.stage == ReleaseStage::Running;
-        if runs_back || release.stage == ReleaseStage::RolledBack {
+        let is_rolling_back =
+            release.direction == Direction::Backward && release.stage == ReleaseStage::Running;
+        if is_rolling_back || release.stage == ReleaseStage::RolledBack {
             return Ok(Outcome::Unchanged);
         }
         release.direction = Direction::Backward;
@@ -71,13 +75,14 @@
         release.steps =
             self.nodes.iter().map(|(id, node)| (*id, rollback_step(node, from_version))).collect();
         self.halt = None;
-        self.revoke_unbegun_slots();
+        self.revoke_slots_not_begun();
         self.complete_release_if_all_passed();
         Ok(Outcome::Applied)
     }
 }
 
-/// The step of a front node as a rollback to `version` begins; one that never left the version has passed.
+/// Returns the step state of a front node when a rollback to `version` begins. The step of a front node that
+/// still serves `version` has passed.
 fn rollback_step(node: &NodeState, version: &str) -> StepState {
     if node.slot.is_some() {
         StepState::InProgress
--- a/crates/rollout/src/state/servers.rs
+++ b/crates/rollout/src/state/servers.rs
@@ -1,17 +1,19 @@
-//! Index servers: who may send to them, and the commands on them that depend on the plan or a halt.
+//! Which front nodes may send to an index server, and the commands on index servers that depend on the plan
+//! or a halt.
 
-use super::Rollout;
+use super::RolloutState;
 use crate::outcome::{Outcome, Refusal};
 use crate::plan::Plan;
 use crate::servers::ServerPhase;
 use pinetrestle_fleet::MemberId;
 
-/// The start and the multiplier of the hash that spreads ramps over the front nodes.
+/// The initial value and the multiplier of [`ramp_hash`].
 const RAMP_HASH_SEED: u64 = 7;
 const RAMP_HASH_MULTIPLIER: u64 = 31;
 
-impl Rollout {
-    /// Whether `node` may send to `server` now. An unknown server is left to discovery: the front node may.
+impl RolloutState {
+    /// Returns whether `node` may send to `server` now. The fleet does not restrict servers that it does not
+    /// know, so they are left to discovery.
     pub fn may_send(&self, node: MemberId, server: &str) -> bool {
         let Some(state) = self.servers.get(server) else { return true };
         match state.phase {
@@ -57,16 +59,19 @@
     }
 }
 
-/// Whether `stage` of the ramp of `server` is open to `node`: stage i of n to i/n of the front nodes, beginning at
-/// another front node for each server, so that the same ones are not first at all servers.
+/// Returns whether `node` may send to `server` in stage `stage` of the server's ramp.
+///
+/// Stage i of n is open to i/n of the front nodes. The name of the server determines which front node is the
+/// first, so that the ramps of all servers do not begin at the same front node.
 fn ramp_includes(plan: &Plan, node: MemberId, server: &str, stage: u32) -> bool {
     let total = plan.nodes.len() as u64;
-    let open = (total * u64::from(stage)).div_ceil(u64::from(plan.ramp_stages.max(1)));
+    let open_count = (total * u64::from(stage)).div_ceil(u64::from(plan.ramp_stages.max(1)));
     let offset = ramp_hash(server) % total.max(1);
     let position = plan.nodes.keys().position(|id| *id == node).unwrap_or(0) as u64;
-    (position + offset) % total.max(1) < open
+    (position + offset) % total.max(1) < open_count
 }
 
+/// Hashes the name of an index server to spread the ramps of the servers over the front nodes.
 fn ramp_hash(server: &str) -> u64 {
     server.bytes().fold(RAMP_HASH_SEED, |hash, byte| {
         hash.wrapping_mul(RAMP_HASH_MULTIPLIER).wrapping_add(u64::from(byte))
--- a/crates/rollout/src/state/slots.rs
+++ b/crates/rollout/src/state/slots.rs
@@ -1,6 +1,7 @@
-//! Slots: granted, begun, and ended with the outcome of the step.
+//! Commands on slots: a slot is granted to a front node, its step begins, and the slot ends with the result
+//! of the step.
 
-use super::Rollout;
+use super::RolloutState;
 use crate::limits::{truncated, MAX_FAILURE_REASON_CHARS};
 use crate::node::Slot;
 use crate::outcome::{Outcome, Refusal};
@@ -8,20 +9,23 @@
 use crate::release::StepState;
 use pinetrestle_fleet::MemberId;
 
-/// The reason counted for a step that takes longer than the plan allows.
+/// The reason of a failed step that takes longer than the plan allows.
 const OVERDUE_REASON: &str = "its step takes too long";
 
-impl Rollout {
-    /// Whether `node` may be granted a slot now.
+impl RolloutState {
+    /// Checks whether `node` may be granted a slot now.
+    ///
+    /// A front node that does not serve may get a slot beyond the node budget, as long as the front nodes
+    /// that hold slots are within that budget.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason for which a slot would be refused.
     pub fn check_slot_grant(&self, node: MemberId) -> Result<(), Refusal> {
         let plan = self.plan.as_ref().ok_or(Refusal::NoPlan)?;
         self.require_no_halt()?;
         let release = self.running_release().ok_or(Refusal::NoRelease)?;
         let state = self.nodes.get(&node).ok_or(Refusal::UnknownUnit)?;
-        // A failed step is retried only by a resume or a rollback, which make it wait again.
+        // A failed step is retried only after a resume or a rollback has set it back to waiting.
         if release.steps.get(&node) != Some(&StepState::Waiting) || state.slot.is_some() {
             return Err(Refusal::NotEligible);
         }
@@ -32,9 +36,10 @@
             return Err(Refusal::AwaitingCanaries);
         }
         let Err(exceeded) = self.check_budget(plan, node) else { return Ok(()) };
-        // A front node that does not serve as it is loses nothing by a step, and a release may be what repairs it: only
-        // the places of other steps count then. The coordinator gives it time to come back by itself first.
-        if !state.ready && self.check_step_budget(plan, node).is_ok() {
+        // A step takes no capacity away from a front node that does not serve anyway, and the release may be
+        // what repairs it, so only the front nodes that hold slots count. The coordinator proposes such a
+        // slot only after the front node had time to recover by itself.
+        if !state.ready && self.check_slot_budget(plan, node).is_ok() {
             return Ok(());
         }
         Err(exceeded.into())
@@ -98,14 +103,15 @@
         if slot.begun {
             return Ok(self.count_overdue_step(node));
         }
-        // The agent has not begun: the place is free again, and the front node's turn comes again.
+        // The agent has not begun the step, so the slot is revoked and the step waits again.
         if let Some(slot) = self.end_slot(node, slot_index) {
             self.record_step(node, &slot, StepState::Waiting);
         }
         Ok(Outcome::Applied)
     }
 
-    /// An overdue step that has begun keeps its slot until its agent ends it; the release counts the failure.
+    /// Counts an overdue step that has begun as a failed step. The front node keeps its slot until its agent
+    /// ends the step.
     fn count_overdue_step(&mut self, node: MemberId) -> Outcome {
         if self.running_release().is_none() || self.halt.is_some() {
             return Outcome::Unchanged;
@@ -114,21 +120,22 @@
         Outcome::Applied
     }
 
-    /// Takes the slot away from `node`; `None` if it holds another one or none.
+    /// Removes the slot with the index `slot_index` from `node` and returns it, or `None` if `node` does not
+    /// hold it.
     fn end_slot(&mut self, node: MemberId, slot_index: u64) -> Option<Slot> {
         self.nodes.get_mut(&node)?.slot.take_if(|slot| slot.index == slot_index)
     }
 
-    /// The agent's verdict on a step implies which version runs. It is recorded here in case the report that says so is
-    /// lost and the front node ends.
+    /// Records the version that runs on `node`, which follows from the result of its step. The agent also
+    /// reports the version, but that report may be lost and the front node may end before the next one.
     fn record_version(&mut self, node: MemberId, version: &str) {
         if let Some(state) = self.nodes.get_mut(&node) {
             state.version = version.to_owned();
         }
     }
 
-    /// Records how the step under `slot` came out. A step to another version than the release goes to now (it was rolled
-    /// back meanwhile) leaves the front node's step waiting.
+    /// Records the result of the step that was done under `slot`. If the release has been rolled back since
+    /// the slot was granted, the step went to the wrong version and is set back to waiting instead.
     fn record_step(&mut self, node: MemberId, slot: &Slot, step: StepState) {
         let Some(release) = self.running_release_mut() else { return };
         if slot.target_version != release.target_version() {
--- a/crates/rollout/tests/random_histories/fleet.rs
+++ b/crates/rollout/tests/random_histories/fleet.rs
@@ -5,7 +5,7 @@
 use pinetrestle_fleet::{MemberId, Token};
 use pinetrestle_rollout::{
     Agent, AgentConfig, AgentOutput, Budget, Command, NodePlan, Outcome, Plan, ProcessAction, ReleaseStage,
-    Rollout, RolloutCoordinator, StartPermission,
+    RolloutCoordinator, RolloutState, StartPermission,
 };
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
     agent: Agent,
     coordinator: RolloutCoordinator,
     /// The state as far as this member has applied the log.
-    view: Rollout,
+    view: RolloutState,
     applied: usize,
     incarnation: u64,
     stalled_until_ms: u64,
@@ -56,7 +56,7 @@
 pub struct Fleet {
     pub members: BTreeMap<u64, Member>,
     /// The state as the whole log has it.
-    pub state: Rollout,
+    pub state: RolloutState,
     /// Most slots held at once.
     pub max_slots_held: usize,
     now_ms: u64,
@@ -72,13 +72,21 @@
     is_undisturbed: bool,
 }
 
-fn plan(max_away: u32) -> Plan {
+fn plan(max_unavailable: u32) -> Plan {
     let zone = |id: u64| if id.is_multiple_of(2) { "a" } else { "b" };
     Plan {
         revision: 1,
         nodes: (1..=NODES).map(|id| (MemberId(id), NodePlan { zone: Some(zone(id).into()) })).collect(),
-        node_budget: Budget { max_away, max_share_per_mille: 500, max_away_per_zone: Some(1) },
-        server_budget: Budget { max_away: 1, max_share_per_mille: 500, max_away_per_zone: None },
+        node_budget: Budget {
+            max_unavailable,
+            max_unavailable_per_mille: 500,
+            max_unavailable_per_zone: Some(1),
+        },
+        server_budget: Budget {
+            max_unavailable: 1,
+            max_unavailable_per_mille: 500,
+            max_unavailable_per_zone: None,
+        },
         canary_nodes: 1,
         max_failed_steps: 1,
         max_failed_queries_per_mille: 10,
@@ -107,7 +115,7 @@
             process: Process::serving("v1"),
             agent: agent(id, 1),
             coordinator: RolloutCoordinator::new(),
-            view: Rollout::new(),
+            view: RolloutState::new(),
             applied: 0,
             incarnation: 1,
             stalled_until_ms: 0,
@@ -119,17 +127,17 @@
         self.incarnation += 1;
         self.agent = agent(id, self.incarnation);
         self.coordinator = RolloutCoordinator::new();
-        self.view = Rollout::new();
+        self.view = RolloutState::new();
         self.applied = 0;
     }
 }
 
 impl Fleet {
-    pub fn new(max_away: u32) -> Fleet {
-        let plan = plan(max_away);
+    pub fn new(max_unavailable: u32) -> Fleet {
+        let plan = plan(max_unavailable);
         let mut fleet = Fleet {
             members: (1..=NODES).map(|id| (id, Member::new(id))).collect(),
-            state: Rollout::new(),
+            state: RolloutState::new(),
             max_slots_held: 0,
             now_ms: 0,
             log: Vec::new(),
--- a/crates/rollout/tests/random_histories/main.rs
+++ b/crates/rollout/tests/random_histories/main.rs
@@ -38,10 +38,10 @@
 
     #[test]
     fn the_budget_is_never_exceeded_and_every_step_ends(
-        max_away in 1u32..3,
+        max_unavailable in 1u32..3,
         events in prop::collection::vec(event(), 50..900),
     ) {
-        let mut fleet = Fleet::new(max_away);
+        let mut fleet = Fleet::new(max_unavailable);
         fleet.commit(release("first"));
         for event in &events {
             fleet.play(event);
@@ -69,7 +69,7 @@
         fleet.commit_in_flight();
     }
     fleet.commit(release("r"));
-    assert_eq!(fleet.state.answer_to("r"), Some(&Outcome::Applied));
+    assert_eq!(fleet.state.command_outcome("r"), Some(&Outcome::Applied));
     fleet.run_to_rest();
     assert_eq!(fleet.state.release().unwrap().stage, ReleaseStage::Completed);
     assert_eq!(fleet.state.last_good_version(), "v2");
--- a/crates/rollout/tests/rollout/fleet.rs
+++ b/crates/rollout/tests/rollout/fleet.rs
@@ -2,7 +2,7 @@
 
 use pinetrestle_fleet::{MemberId, Token};
 use pinetrestle_rollout::{
-    Budget, Command, HealthCounters, NodePlan, Outcome, Plan, Rollout, ServerPhase, ServerState,
+    Budget, Command, HealthCounters, NodePlan, Outcome, Plan, RolloutState, ServerPhase, ServerState,
 };
 
 /// The token of the release lease.
@@ -11,7 +11,7 @@
 pub const NODES: std::ops::RangeInclusive<u64> = 1..=4;
 
 pub struct Fleet {
-    pub state: Rollout,
+    pub state: RolloutState,
     index: u64,
 }
 
@@ -19,8 +19,16 @@
     Plan {
         revision,
         nodes: NODES.map(|id| (MemberId(id), NodePlan { zone: None })).collect(),
-        node_budget: Budget { max_away: 2, max_share_per_mille: 500, max_away_per_zone: None },
-        server_budget: Budget { max_away: 2, max_share_per_mille: 400, max_away_per_zone: Some(1) },
+        node_budget: Budget {
+            max_unavailable: 2,
+            max_unavailable_per_mille: 500,
+            max_unavailable_per_zone: None,
+        },
+        server_budget: Budget {
+            max_unavailable: 2,
+            max_unavailable_per_mille: 400,
+            max_unavailable_per_zone: Some(1),
+        },
         canary_nodes: 1,
         max_failed_steps: 1,
         max_failed_queries_per_mille: 10,
@@ -35,7 +43,7 @@
 impl Fleet {
     /// The plan is agreed, every front node has reported that it serves `v1`, every index server is up.
     pub fn new() -> Fleet {
-        let mut fleet = Fleet { state: Rollout::new(), index: 0 };
+        let mut fleet = Fleet { state: RolloutState::new(), index: 0 };
         assert_eq!(fleet.apply(Command::Configure(plan(1))), Outcome::Applied);
         for node in NODES {
             assert_eq!(fleet.report(node, 1, "v1"), Outcome::Applied);
--- a/crates/rollout/tests/rollout/releases.rs
+++ b/crates/rollout/tests/rollout/releases.rs
@@ -81,8 +81,8 @@
     fleet.begin(2, begun);
     fleet.halt("h");
     assert_eq!(fleet.begin(3, not_begun), Outcome::Refused(Refusal::Stale));
-    assert!(fleet.state.is_away(MemberId(2)));
-    assert!(!fleet.state.is_away(MemberId(3)));
+    assert!(fleet.state.is_unavailable(MemberId(2)));
+    assert!(!fleet.state.is_unavailable(MemberId(3)));
     assert_eq!(fleet.drain("d", "s0"), Outcome::Refused(Refusal::Halted));
     fleet.resume("r");
     assert_eq!(fleet.grant(3), Outcome::Applied);
@@ -95,7 +95,7 @@
     let mut next = plan(2);
     next.nodes.insert(MemberId(5), NodePlan { zone: None });
     assert_eq!(fleet.apply(Command::Configure(next)), Outcome::Applied);
-    assert!(fleet.state.is_away(MemberId(5)), "one that has not reported is away");
+    assert!(fleet.state.is_unavailable(MemberId(5)), "one that has not reported is away");
 }
 
 #[test]
