--- a/crates/protocol/src/chunks.rs
+++ b/crates/protocol/src/chunks.rs
@@ -1,55 +1,57 @@
 //! Incremental decoder of the chunked transfer coding ([RFC 9112 section
 //! 7.1](https://www.rfc-editor.org/rfc/rfc9112#section-7.1)).
 //!
-//! Chunk extensions and trailer fields are skipped. Stricter than the RFC where leniency allows request smuggling:
-//! a line ends with CRLF only, and a chunk size has neither blanks nor a sign around it.
+//! Chunk extensions and trailer fields are skipped. The decoder is stricter than the RFC where leniency would
+//! allow request smuggling: every line must end with CRLF, and a chunk size must have no sign and no white
+//! space around it.
 
 use crate::head::HttpError;
 
-/// Longest chunk-size line or trailer line, in bytes with its CR.
+/// Maximum length of a chunk-size line or trailer line in bytes, including its CR but not its LF.
 const MAX_LINE_BYTES: usize = 256;
-/// Most trailer lines after the last chunk.
+/// Maximum number of trailer lines after the last chunk.
 const MAX_TRAILER_LINES: usize = 16;
-/// Most hexadecimal digits of a chunk size.
+/// Maximum number of hexadecimal digits in a chunk size.
 const MAX_SIZE_DIGITS: usize = 8;
 
-/// What the decoder expects next.
+/// The element of the chunked coding that the decoder expects next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     /// A chunk-size line.
     #[default]
     Size,
-    /// Chunk data; the number is the bytes still to come.
+    /// Chunk data, with the number of bytes not yet received.
     Data(usize),
     /// The CRLF after the data of a chunk.
     DataEnd,
-    /// A trailer line or the empty line that ends the body.
+    /// A trailer line, or the empty line that ends the body.
     Trailer,
-    /// Nothing: the body is complete.
+    /// Nothing, because the body is complete.
     Done,
 }
 
-/// Decoder of one chunked body.
+/// Incremental decoder for one chunked body.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkedDecoder {
     state: State,
-    /// Bytes of the current line so far.
+    /// Received bytes of the current line.
     line: Vec<u8>,
     trailer_lines: usize,
 }
 
 impl ChunkedDecoder {
-    /// Whether the last chunk and the trailer section have been read.
+    /// Returns whether the last chunk and the trailer section have been read.
     pub(crate) fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Decodes `input`, appends body bytes to `body` and returns how many bytes of the input were consumed: all of
-    /// them, unless the body ends before.
+    /// Decodes `input`, appends the decoded bytes to `body`, and returns the number of input bytes consumed.
+    /// That is less than the length of `input` only if the body ends within it.
     ///
     /// # Errors
-    /// [`HttpError::BadChunkedCoding`] on malformed framing; [`HttpError::BodyTooLong`] as soon as a chunk size would make
-    /// the body longer than `max_body_bytes`, before the data of that chunk is read.
+    /// * [`HttpError::BadChunkedCoding`] if the coding is malformed.
+    /// * [`HttpError::BodyTooLong`] if a chunk size would make the body longer than `max_body_bytes`. The
+    ///   error is returned before the data of that chunk is read.
     pub(crate) fn decode(
         &mut self,
         input: &[u8],
@@ -76,7 +78,8 @@
         Ok(consumed)
     }
 
-    /// Copies chunk data and returns how many bytes were taken.
+    /// Copies chunk data to `body` and returns the number of bytes copied. `remaining` bytes of the chunk
+    /// have not been received before this input.
     fn copy_data(&mut self, input: &[u8], remaining: usize, body: &mut Vec<u8>) -> usize {
         let count = remaining.min(input.len());
         body.extend_from_slice(&input[..count]);
@@ -84,7 +87,8 @@
         count
     }
 
-    /// Adds a byte to the current line; true if it completes the line, which is then without its CRLF.
+    /// Appends a byte to the current line. Returns true if the byte completes the line, and then removes the
+    /// CR that was stored before it.
     fn push_line_byte(&mut self, byte: u8) -> Result<bool, HttpError> {
         if byte != b'\n' {
             self.line.push(byte);
@@ -100,7 +104,7 @@
         Ok(true)
     }
 
-    /// Acts on the completed line and clears it.
+    /// Processes the completed line, sets the next state, and clears the line.
     fn finish_line(&mut self) -> Result<(), HttpError> {
         if self.line.iter().any(|byte| byte.is_ascii_control() && *byte != b'\t') {
             return Err(HttpError::BadChunkedCoding);
@@ -127,7 +131,7 @@
     }
 }
 
-/// Parses a chunk-size line; extensions after a semicolon are ignored.
+/// Parses a chunk-size line and ignores the chunk extensions after a semicolon.
 fn parse_chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let is_valid = !digits.is_empty()
--- a/crates/protocol/src/connection/outgoing.rs
+++ b/crates/protocol/src/connection/outgoing.rs
@@ -1,4 +1,4 @@
-//! The write queue of one connection: frames that wait for the socket, and how far they have been written.
+//! Write queue of one connection: the frames to be written, and how many of their bytes have been written.
 
 use super::AttemptId;
 use crate::frames::{self, CallPart, HEADER_BYTES};
@@ -7,53 +7,54 @@
 use std::io::IoSlice;
 use std::rc::Rc;
 
-/// A queued call states its time left anew after so many microseconds: the resolution of that field.
-const DEADLINE_RESOLUTION_US: u64 = 1000;
+/// Resolution of the time left in a call frame, in microseconds. The time left of a queued call is updated
+/// only if this much time has passed since it was computed.
+const TIME_LEFT_RESOLUTION_US: u64 = 1000;
 
-/// One part of a call to be sent.
+/// A part to be sent. All times are in microseconds of the caller's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingPart {
-    /// The host's number for the attempt.
+    /// Id of the attempt.
     pub attempt_id: AttemptId,
-    /// The host's number for the query.
+    /// Identifier of the query, assigned by the caller.
     pub query_key: u64,
-    /// Id of the part on the wire.
+    /// Wire id of the part.
     pub id: String,
-    /// Shard that is searched.
+    /// Shard to search.
     pub shard: u32,
-    /// Attributes of the part after its time left, each with a comma before it.
+    /// Attributes that follow the time left in the call frame, each preceded by a comma.
     pub attributes: String,
     /// Text of the query.
     pub text: Rc<str>,
-    /// Deadline of the part, in microseconds of the host's clock. The call states the time left to it as of the
-    /// moment it is written.
+    /// Deadline of the part, in microseconds. The call frame contains the time left until the deadline.
     pub deadline_us: u64,
-    /// The write must not start at or after this time, in microseconds of the host's clock.
+    /// Time from which on the write must not start, in microseconds.
     pub start_before_us: Option<u64>,
-    /// The write must not start before this time, in microseconds of the host's clock.
+    /// Time before which the write must not start, in microseconds.
     pub not_before_us: u64,
 }
 
 impl OutgoingPart {
-    /// The time at and after which the write must not start, in microseconds of the host's clock.
+    /// Returns the earlier of `start_before_us` and `deadline_us`, in microseconds. The write must not start
+    /// at or after this time.
     pub fn latest_start_us(&self) -> u64 {
         self.start_before_us.map_or(self.deadline_us, |by| by.min(self.deadline_us))
     }
 }
 
-/// Progress of a queued frame.
+/// Write progress of a queued frame. Each event of a call frame is reported once for each of its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteEvent<'a> {
-    /// The first byte of the frame with this part was written.
+    /// The first byte of the call frame with this part was written.
     Started(&'a OutgoingPart),
-    /// The last byte of the frame with this part was written.
+    /// The last byte of a call frame was written.
     Completed {
-        /// Id of the part.
+        /// Wire id of one of the parts in the frame.
         id: &'a str,
-        /// Parts of the frame.
+        /// Number of parts in the frame.
         parts: usize,
     },
-    /// The last byte of the frame that cancels the part of this id was written.
+    /// The last byte of a cancel frame was written. Contains the wire id of the cancelled part.
     CancelCompleted(&'a str),
 }
 
@@ -61,19 +62,19 @@
 #[derive(Debug)]
 struct QueuedFrame {
     bytes: Vec<u8>,
-    /// Time as of which the call states the time left, in microseconds of the host's clock.
+    /// Time from which the time left in the call was computed, in microseconds. 0 for a cancel frame.
     encoded_at_us: u64,
     /// The parts of a call; empty for a cancel frame.
     parts: Vec<OutgoingPart>,
 }
 
 impl QueuedFrame {
-    /// The time before which the write must not start.
+    /// Returns the time before which the write must not start, in microseconds: the latest of all its parts.
     fn not_before_us(&self) -> u64 {
         self.parts.iter().map(|part| part.not_before_us).max().unwrap_or(0)
     }
 
-    /// The id in a cancel frame.
+    /// Returns the wire id of the cancelled part, or `None` for a call frame.
     fn cancelled_id(&self) -> Option<&str> {
         if !self.parts.is_empty() {
             return None;
@@ -82,33 +83,34 @@
     }
 }
 
-/// The frames that wait to be written, in order.
+/// Frames to be written to one connection, in order.
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
     format: Rc<FrameFormat>,
     frames: VecDeque<QueuedFrame>,
-    /// Bytes of the first frame that are written. A frame that was started is neither changed nor dropped.
-    first_frame_written: usize,
-    /// Bytes of all frames in the queue.
+    /// Number of bytes of the first frame that have been written. A frame whose write has started must not be
+    /// changed or dropped, because its length and first bytes have been sent.
+    first_frame_written_bytes: usize,
+    /// Total size of the frames in the queue in bytes, including the written bytes of the first frame.
     queued_bytes: usize,
-    /// Attempts whose call is not completely written.
-    unwritten: HashSet<AttemptId>,
+    /// Attempts whose call has not been completely written.
+    incomplete_writes: HashSet<AttemptId>,
 }
 
 impl WriteQueue {
-    /// An empty queue of frames in this format.
+    /// Creates an empty queue of frames in the given format.
     pub(super) fn new(format: Rc<FrameFormat>) -> WriteQueue {
         WriteQueue { format, ..WriteQueue::default() }
     }
 
-    /// Appends a call with these parts.
+    /// Appends a call frame with the given parts.
     pub(super) fn push_call(&mut self, now_us: u64, parts: Vec<OutgoingPart>) {
-        self.unwritten.extend(parts.iter().map(|part| part.attempt_id));
+        self.incomplete_writes.extend(parts.iter().map(|part| part.attempt_id));
         let bytes = encode_call(&self.format, &parts, now_us);
         self.push(QueuedFrame { bytes, encoded_at_us: now_us, parts });
     }
 
-    /// Appends the frame that cancels a part.
+    /// Appends a cancel frame for the part with the given wire id.
     pub(super) fn push_cancel(&mut self, id: &str) {
         let bytes = frames::encode_cancel(&self.format, id);
         self.push(QueuedFrame { bytes, encoded_at_us: 0, parts: Vec::new() });
@@ -119,26 +121,26 @@
         self.frames.push_back(frame);
     }
 
-    /// Whether the call of this attempt is not completely written.
-    pub(super) fn is_unwritten(&self, attempt_id: AttemptId) -> bool {
-        self.unwritten.contains(&attempt_id)
+    /// Returns whether the call of this attempt has not been completely written.
+    pub(super) fn has_incomplete_write(&self, attempt_id: AttemptId) -> bool {
+        self.incomplete_writes.contains(&attempt_id)
     }
 
-    /// The attempt has ended: whether its call is written does not matter any more.
-    pub(super) fn forget(&mut self, attempt_id: AttemptId) {
-        self.unwritten.remove(&attempt_id);
+    /// Stops tracking whether the call of this attempt has been written, because the attempt has ended.
+    pub(super) fn forget_attempt(&mut self, attempt_id: AttemptId) {
+        self.incomplete_writes.remove(&attempt_id);
     }
 
-    /// Frames at the front of the queue whose write has started: one or none.
-    fn started_frames(&self) -> usize {
-        usize::from(self.first_frame_written > 0)
+    /// Returns the number of frames whose write has started but is not complete: 0 or 1.
+    fn started_frame_count(&self) -> usize {
+        usize::from(self.first_frame_written_bytes > 0)
     }
 
-    /// Takes the parts that satisfy `predicate` out of calls whose write has not started, drops calls left without
-    /// parts, and returns the attempts of the parts taken.
+    /// Removes the parts that satisfy `predicate` from all calls whose write has not started, drops the calls
+    /// that have no parts left, and returns the attempts of the removed parts.
     pub(super) fn withdraw(&mut self, predicate: impl Fn(&OutgoingPart) -> bool) -> Vec<AttemptId> {
         let mut withdrawn = Vec::new();
-        for index in self.started_frames()..self.frames.len() {
+        for index in self.started_frame_count()..self.frames.len() {
             let parts = &mut self.frames[index].parts;
             if !parts.iter().any(&predicate) {
                 continue;
@@ -146,27 +148,28 @@
             withdrawn.extend(parts.iter().filter(|part| predicate(part)).map(|part| part.attempt_id));
             parts.retain(|part| !predicate(part));
             let encoded_at_us = self.frames[index].encoded_at_us;
-            self.encode_again(index, encoded_at_us);
+            self.reencode_call(index, encoded_at_us);
         }
         self.frames.retain(|frame| !frame.bytes.is_empty());
         for attempt_id in &withdrawn {
-            self.unwritten.remove(attempt_id);
+            self.incomplete_writes.remove(attempt_id);
         }
         withdrawn
     }
 
-    /// Updates the time left in calls whose write has not started.
+    /// Re-encodes the calls whose write has not started, with the time left as of `now_us`.
     pub(super) fn refresh_times_left(&mut self, now_us: u64) {
-        for index in self.started_frames()..self.frames.len() {
+        for index in self.started_frame_count()..self.frames.len() {
             let frame = &self.frames[index];
-            if !frame.parts.is_empty() && frame.encoded_at_us + DEADLINE_RESOLUTION_US <= now_us {
-                self.encode_again(index, now_us);
+            if !frame.parts.is_empty() && frame.encoded_at_us + TIME_LEFT_RESOLUTION_US <= now_us {
+                self.reencode_call(index, now_us);
             }
         }
     }
 
-    /// Encodes a call with its present parts as of a time; a call without parts becomes empty.
-    fn encode_again(&mut self, index: usize, now_us: u64) {
+    /// Re-encodes the call at `index` with its current parts and the time left as of `now_us`. The bytes of a
+    /// call without parts become empty.
+    fn reencode_call(&mut self, index: usize, now_us: u64) {
         let frame = &mut self.frames[index];
         self.queued_bytes -= frame.bytes.len();
         frame.bytes.clear();
@@ -177,48 +180,50 @@
         self.queued_bytes += frame.bytes.len();
     }
 
-    /// Whether a call is partly written and one of its parts must not start any more.
+    /// Returns whether a partially written call has a part whose `start_before_us` has passed.
     pub(super) fn has_expired_partial_write(&self, now_us: u64) -> bool {
         let is_expired = |part: &OutgoingPart| part.start_before_us.is_some_and(|by| by <= now_us);
-        self.first_frame_written > 0
+        self.first_frame_written_bytes > 0
             && self.frames.front().is_some_and(|frame| frame.parts.iter().any(is_expired))
     }
 
-    /// Bytes in the queue that are not written.
+    /// Returns the number of queued bytes that have not been written.
     pub(super) fn unwritten_bytes(&self) -> usize {
-        self.queued_bytes - self.first_frame_written
+        self.queued_bytes - self.first_frame_written_bytes
     }
 
-    /// When the next bytes may be written, in microseconds of the host's clock; `None` for an empty queue.
+    /// Returns the earliest time at which more bytes may be written, in microseconds, or `None` if the queue
+    /// is empty. The time is 0 for a frame whose write has started.
     pub(super) fn next_write_us(&self) -> Option<u64> {
         let frame = self.frames.front()?;
-        Some(if self.first_frame_written > 0 { 0 } else { frame.not_before_us() })
+        Some(if self.first_frame_written_bytes > 0 { 0 } else { frame.not_before_us() })
     }
 
-    /// Appends up to `max_slices` slices of what may be written now: the rest of a started frame, and the frames
-    /// after it up to the first that must not start yet.
+    /// Appends up to `max_slices` slices with the bytes that may be written at `now_us`: the remaining bytes
+    /// of a partially written frame, and the following frames up to the first one whose write must not start
+    /// yet.
     pub(super) fn pending_slices<'a>(
         &'a self,
         now_us: u64,
         slices: &mut Vec<IoSlice<'a>>,
         max_slices: usize,
     ) {
-        let started = self.frames.iter().take(self.started_frames());
-        let startable = |frame: &&QueuedFrame| frame.not_before_us() <= now_us;
-        let rest = self.frames.iter().skip(self.started_frames()).take_while(startable);
-        let mut offset = self.first_frame_written;
-        for frame in started.chain(rest).take(max_slices) {
+        let started = self.frames.iter().take(self.started_frame_count());
+        let may_start = |frame: &&QueuedFrame| frame.not_before_us() <= now_us;
+        let startable = self.frames.iter().skip(self.started_frame_count()).take_while(may_start);
+        let mut offset = self.first_frame_written_bytes;
+        for frame in started.chain(startable).take(max_slices) {
             slices.push(IoSlice::new(&frame.bytes[offset..]));
             offset = 0;
         }
     }
 
-    /// Accounts for `count` bytes written and reports what they start and complete.
+    /// Records that `count` bytes were written, and passes `report` the frames that they start and complete.
     pub(super) fn on_written(&mut self, count: usize, mut report: impl FnMut(WriteEvent<'_>)) {
         if count == 0 {
             return;
         }
-        let written_before = std::mem::replace(&mut self.first_frame_written, 0);
+        let written_before = std::mem::replace(&mut self.first_frame_written_bytes, 0);
         let mut remaining = written_before + count;
         let mut is_frame_start = written_before == 0;
         while let Some(frame) = self.frames.front().filter(|_| remaining > 0) {
@@ -226,7 +231,7 @@
                 frame.parts.iter().for_each(|part| report(WriteEvent::Started(part)));
             }
             if frame.bytes.len() > remaining {
-                self.first_frame_written = remaining;
+                self.first_frame_written_bytes = remaining;
                 return;
             }
             remaining -= frame.bytes.len();
@@ -235,12 +240,12 @@
         }
     }
 
-    /// Removes the first frame, which is completely written, and reports it.
+    /// Removes the first frame, which has been completely written, and reports its completion.
     fn complete_first_frame(&mut self, report: &mut impl FnMut(WriteEvent<'_>)) {
         let Some(frame) = self.frames.pop_front() else { return };
         self.queued_bytes -= frame.bytes.len();
         for part in &frame.parts {
-            self.unwritten.remove(&part.attempt_id);
+            self.incomplete_writes.remove(&part.attempt_id);
             report(WriteEvent::Completed { id: &part.id, parts: frame.parts.len() });
         }
         if let Some(id) = frame.cancelled_id() {
@@ -248,15 +253,15 @@
         }
     }
 
-    /// Removes the calls whose write has not started and returns their parts.
+    /// Empties the queue and returns the parts of the calls whose write has not started.
     pub(super) fn take_unstarted_calls(&mut self) -> Vec<Vec<OutgoingPart>> {
-        let started = self.started_frames();
+        let started = self.started_frame_count();
         let calls = self.frames.drain(..).skip(started).map(|frame| frame.parts);
         calls.filter(|parts| !parts.is_empty()).collect()
     }
 }
 
-/// Encodes a call as of a time.
+/// Encodes a call frame with the time left as of `now_us`, rounded up to whole milliseconds.
 fn encode_call(format: &FrameFormat, parts: &[OutgoingPart], now_us: u64) -> Vec<u8> {
     let parts = parts.iter().map(|part| CallPart {
         id: &part.id,
--- a/crates/protocol/src/connection/recent_ids.rs
+++ b/crates/protocol/src/connection/recent_ids.rs
@@ -1,9 +1,10 @@
-//! A bounded set of recently used part ids.
+//! A bounded set of part ids that evicts the oldest id first.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Ids in order of insertion, as hashes: many are kept and few are looked up.
+/// A set of the most recently inserted ids. It stores hashes instead of strings to save memory, because it
+/// keeps many ids of which few are looked up.
 #[derive(Debug, Default)]
 pub(super) struct RecentIds {
     insertion_order: VecDeque<u64>,
@@ -11,7 +12,8 @@
 }
 
 impl RecentIds {
-    /// Inserts an id; true if the oldest one was evicted to stay within `capacity`.
+    /// Inserts an id. Returns true if the set exceeded `capacity` and the oldest id was evicted. A removed id
+    /// counts towards the capacity until it is the oldest one.
     pub(super) fn insert(&mut self, id: &str, capacity: usize) -> bool {
         let hash = hash_id(id);
         if !self.hashes.insert(hash) {
@@ -27,12 +29,12 @@
         true
     }
 
-    /// Whether the set has this id.
+    /// Returns whether the set contains the id.
     pub(super) fn contains(&self, id: &str) -> bool {
         self.hashes.contains(&hash_id(id))
     }
 
-    /// Removes an id; false if the set did not have it.
+    /// Removes an id. Returns false if the set did not contain it.
     pub(super) fn remove(&mut self, id: &str) -> bool {
         self.hashes.remove(&hash_id(id))
     }
--- a/crates/protocol/src/endpoint_list.rs
+++ b/crates/protocol/src/endpoint_list.rs
@@ -1,49 +1,53 @@
-//! The endpoint list: the index servers that discovery knows, complete or as changes to an earlier version.
+//! The endpoint list, in which the discovery service publishes the addresses and states of the index servers.
+//!
+//! Each update carries either the complete list or the changes to an earlier version. Every entry of the
+//! list, an endpoint, is one index server.
 
 use crate::names::{EndpointListKeys, WireNames};
 use serde_json::Value;
 
-/// Start times are below this, in milliseconds of Unix time.
+/// Exclusive upper bound for the start time of an endpoint, in milliseconds of Unix time.
 const START_TIME_LIMIT_MS: f64 = 1e15;
-/// The weight of an endpoint whose entry states none.
+/// Weight of an endpoint whose entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The status of an endpoint.
+/// Status of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// In service.
     Up,
-    /// Shutting down gracefully: it finishes what is in flight and takes nothing new.
+    /// Shutting down gracefully: the index server completes the calls in flight and accepts no new ones.
     Draining,
-    /// No longer there.
+    /// Removed from the list.
     Removed,
 }
 
-/// One index server of the list.
+/// An entry of the endpoint list: one index server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Its name, the same for every front node.
+    /// Name of the index server, identical on all front nodes.
     pub name: String,
-    /// Its address as this front node reaches it; may be empty if it is removed.
+    /// Address at which this front node reaches the index server. May be empty if the status is
+    /// [`Status::Removed`].
     pub address: String,
-    /// Its cell.
+    /// Cell of the index server.
     pub cell: u32,
-    /// Its status.
+    /// Status of the index server.
     pub status: Status,
-    /// Its relative capacity.
+    /// Capacity of the index server, relative to the others.
     pub weight: f64,
-    /// Its last start in milliseconds of Unix time; 0 if that is not stated.
+    /// Time of the last start of the index server in milliseconds of Unix time; 0 if unknown.
     pub start_time_ms: i64,
 }
 
-/// A version of the list, complete or as changes to the version before.
+/// One version of the endpoint list, either complete or as the changes to an earlier version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// The version, which grows with each change.
+    /// Version of the list, which increases with each change.
     pub version: u64,
     /// Whether `entries` is the complete list.
     pub complete: bool,
-    /// The endpoints of the list or of the change.
+    /// All endpoints if the update is complete, otherwise the changed ones.
     pub entries: Vec<EndpointEntry>,
 }
 
@@ -51,11 +55,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field '{key}' of the endpoint list is missing or invalid")]
 pub struct InvalidField {
-    /// The key of the field.
+    /// JSON key of the field.
     pub key: String,
 }
 
-/// Bytes that are not an endpoint list.
+/// An error in the encoding of an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
     /// The bytes are not JSON.
@@ -70,19 +74,19 @@
     InvalidField { key: key.to_owned() }
 }
 
-/// Parses an endpoint list from the bytes of one line or body.
+/// Parses an endpoint list from JSON bytes.
 ///
 /// # Errors
-/// [`EndpointListError`], the first fault found.
-pub fn parse_list_update(line: &[u8], names: &WireNames) -> Result<ListUpdate, EndpointListError> {
-    let value = serde_json::from_slice(line).map_err(|_| EndpointListError::NotJson)?;
+/// [`EndpointListError`] if the bytes are not JSON, or for the first invalid field found.
+pub fn parse_list_update(json: &[u8], names: &WireNames) -> Result<ListUpdate, EndpointListError> {
+    let value = serde_json::from_slice(json).map_err(|_| EndpointListError::NotJson)?;
     Ok(list_update_from_json(&value, names)?)
 }
 
-/// Reads an endpoint list from a JSON value.
+/// Reads an endpoint list from a parsed JSON value.
 ///
 /// # Errors
-/// [`InvalidField`], the first one found.
+/// [`InvalidField`] for the first field found to be missing or invalid.
 pub fn list_update_from_json(value: &Value, names: &WireNames) -> Result<ListUpdate, InvalidField> {
     let keys = &names.endpoint_list_keys;
     let field = |key: &str| value.get(key).ok_or_else(|| invalid_field(key));
@@ -113,16 +117,16 @@
 
 fn read_status(value: &Value, names: &WireNames) -> Result<Status, InvalidField> {
     let key = &names.endpoint_list_keys.status;
-    let states = &names.status_values;
+    let values = &names.status_values;
     match string_field(value, key)? {
-        status if status == states.up => Ok(Status::Up),
-        status if status == states.draining => Ok(Status::Draining),
-        status if status == states.removed => Ok(Status::Removed),
+        status if status == values.up => Ok(Status::Up),
+        status if status == values.draining => Ok(Status::Draining),
+        status if status == values.removed => Ok(Status::Removed),
         _ => Err(invalid_field(key)),
     }
 }
 
-/// The cell; a removed endpoint may lack it.
+/// Reads the cell of an endpoint. The field is optional if the endpoint is removed; the cell is then 0.
 fn read_cell(value: &Value, keys: &EndpointListKeys, status: Status) -> Result<u32, InvalidField> {
     let cell = value.get(&keys.cell);
     if cell.is_none() && status == Status::Removed {
@@ -144,17 +148,20 @@
     let is_valid = |start_time_ms: &f64| (0.0..START_TIME_LIMIT_MS).contains(start_time_ms);
     match value.get(&keys.start_time) {
         None | Some(Value::Null) => Ok(0),
-        Some(since) => {
+        Some(start_time) => {
             let start_time_ms =
-                since.as_f64().filter(is_valid).ok_or_else(|| invalid_field(&keys.start_time))?;
+                start_time.as_f64().filter(is_valid).ok_or_else(|| invalid_field(&keys.start_time))?;
             Ok(start_time_ms as i64)
         }
     }
 }
 
-/// Encodes the HTTP request for a watch on the changes after a version; 0 for the complete list.
+/// Encodes the HTTP request that starts a watch on the endpoint list.
+///
+/// The watch delivers the changes after version `after`; 0 requests the complete list. `host` is the value of
+/// the `Host` field.
 pub fn encode_watch_request(names: &WireNames, host: &str, after: u64) -> Vec<u8> {
-    let path = &names.paths.list;
+    let path = &names.paths.endpoint_list;
     let parameters = &names.watch_parameters;
     let target = format!("{path}?{}=1&{}={after}", parameters.watch, parameters.after);
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
--- a/crates/protocol/src/frames.rs
+++ b/crates/protocol/src/frames.rs
@@ -1,55 +1,62 @@
-//! Frames between front nodes and index servers.
+//! Encoder and decoder for the frames exchanged by front nodes and index servers.
 //!
-//! A frame is a length of four bytes (of what follows it), a type byte and a payload. Front nodes send call frames
-//! and cancel frames; index servers send answer frames and, for what they could not use, reject frames. The byte
-//! order and the type bytes are those of [`FrameFormat`].
+//! A frame consists of a four-byte length, a type byte and a payload. The length counts the type byte and the
+//! payload. [`FrameFormat`] sets the byte order of the length and the values of the type byte.
 //!
-//! * Call: for each part a line `ID SHARD d=MILLISECONDS[,ATTRIBUTE...] TEXT_BYTES` and the text of that length.
-//! * Cancel: the id of a part.
-//! * Answer: a line `ID OUTCOME SCORE REPORT` and the value, which takes the rest of the frame.
-//! * Reject: a diagnostic text.
+//! A part is the share of a query that searches one shard. A call is the frame that carries one or more parts
+//! to an index server; the index server answers each part separately.
+//!
+//! The payload depends on the type of the frame:
+//!
+//! * Call, sent by front nodes: for each part, the line `ID SHARD d=MILLISECONDS[,ATTRIBUTE...] TEXT_BYTES`,
+//!   followed by the query text of `TEXT_BYTES` bytes. `MILLISECONDS` is the time left until the deadline of
+//!   the part.
+//! * Cancel, sent by front nodes: the id of a part.
+//! * Answer, sent by index servers: the line `ID OUTCOME SCORE REPORT`, followed by the value up to the end
+//!   of the frame. `REPORT` is a load report.
+//! * Reject, sent by index servers after a frame that they could not process: a diagnostic text.
 
 use crate::names::FrameFormat;
 use std::rc::Rc;
 
-/// Largest frame in bytes, without its length field.
+/// Maximum size of a frame in bytes, excluding its length field.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// Bytes of the length field.
+/// Size of the length field in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Bytes before the payload: the length field and the type byte.
+/// Size of the frame header in bytes: the length field and the type byte.
 pub(crate) const HEADER_BYTES: usize = LENGTH_BYTES + 1;
-/// Longest line of an answer frame in bytes: id, outcome, score and load report.
+/// Maximum length of the line in an answer frame (id, outcome, score and load report), in bytes.
 const MAX_ANSWER_LINE_BYTES: usize = 4096;
-/// Capacity that an empty receive buffer keeps, in bytes.
+/// Capacity in bytes to which an empty receive buffer is shrunk.
 const IDLE_BUFFER_BYTES: usize = 16 * 1024;
-/// Scores beyond this magnitude are malformed.
+/// Exclusive upper bound for the magnitude of a score that can't be parsed as an integer.
 const MAX_FRACTIONAL_SCORE: f64 = 1e30;
 
-/// Bytes that are not a valid frame of an index server. The connection can't be used any further.
+/// An invalid or unexpected frame from an index server. The connection can't be used after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The length is 0 or above [`MAX_FRAME_BYTES`].
+    /// The frame length is 0 or above [`MAX_FRAME_BYTES`].
     #[error("frame length is 0 or above {MAX_FRAME_BYTES} bytes")]
     InvalidLength,
-    /// The type byte is none that index servers send.
+    /// The type byte is neither that of an answer nor that of a reject frame.
     #[error("unknown frame type")]
     UnknownType,
-    /// The line of an answer is malformed or too long.
-    #[error("malformed answer line")]
+    /// The line of an answer frame is malformed or too long.
+    #[error("answer line is malformed or longer than {MAX_ANSWER_LINE_BYTES} bytes")]
     MalformedAnswerLine,
-    /// The value of an answer is not text.
-    #[error("answer value is not text")]
+    /// The value of an answer is not UTF-8, or contains a control character other than tab, CR and LF.
+    #[error("answer value is not UTF-8 or contains control characters")]
     InvalidAnswerValue,
-    /// An answer to a part that was not sent on this connection.
+    /// The answer belongs to a part that was not sent on this connection.
     #[error("answer to a part that was not sent on this connection")]
     UnknownPart,
-    /// The index server rejected a frame that it was sent.
+    /// The index server could not process a frame that it received.
     #[error("index server rejected a frame")]
     FrameRejected,
 }
 
 impl FrameError {
-    /// Every variant, for tables of codes.
+    /// All variants.
     pub const ALL: &'static [FrameError] = &[
         FrameError::InvalidLength,
         FrameError::UnknownType,
@@ -59,7 +66,7 @@
         FrameError::FrameRejected,
     ];
 
-    /// The stable code used in counters and in the log.
+    /// Returns the stable error code used in counters and log lines.
     pub fn code(self) -> &'static str {
         match self {
             FrameError::InvalidLength => "bad_frame_length",
@@ -72,28 +79,30 @@
     }
 }
 
-/// How an index server ended a part.
+/// Outcome of a part, as reported by the index server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartOutcome {
-    /// The part was served.
+    /// The part succeeded.
     Served,
     /// The part failed.
     Error,
-    /// The part was rejected before it ran.
+    /// The index server rejected the part without running it.
     Rejected,
 }
 
-/// The score of an answer: an integer part and a fraction in `0.0..1.0`, so that integers of 64 bits compare exactly.
+/// Score of an answer, as an integer part and a fraction in `0.0..1.0`.
+///
+/// An `f64` alone can't represent all 64-bit integers; the separate integer part lets them compare exactly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Score(
-    /// The integer part, rounded down.
+    /// The score rounded down to an integer.
     pub i128,
-    /// The fraction.
+    /// The difference between the score and that integer.
     pub f64,
 );
 
 impl Score {
-    /// Parses the score field; `-` stands for no score.
+    /// Parses the score field of an answer line. A `-` (no score) gives the score 0.
     fn parse(field: &str) -> Option<Score> {
         if field == "-" {
             return Some(Score::default());
@@ -112,35 +121,36 @@
 pub enum Frame {
     /// The answer to a part.
     Answer {
-        /// Id of the part.
+        /// Wire id of the part, as built by [`part_id`].
         id: String,
-        /// How it ended.
+        /// Outcome of the part.
         outcome: PartOutcome,
-        /// Its score.
+        /// Score of the answer.
         score: Score,
-        /// Its value.
+        /// Value of the answer.
         value: String,
     },
-    /// The index server could not use an earlier frame; its diagnostic text.
+    /// The index server could not process a frame that it received. Contains its diagnostic text.
     Rejected(String),
 }
 
 /// One part of a call frame.
 #[derive(Clone, Copy, Debug)]
 pub struct CallPart<'a> {
-    /// Id of the part on the wire.
+    /// Wire id of the part, as built by [`part_id`].
     pub id: &'a str,
-    /// Shard that is searched.
+    /// Shard to search.
     pub shard: u32,
     /// Time left until the deadline, in milliseconds.
     pub time_left_ms: u64,
-    /// Further attributes, each with a comma before it ([`idempotency_key_attribute`], [`second_step_attributes`]).
+    /// Attributes that follow the time left, each preceded by a comma: [`idempotency_key_attribute`] and
+    /// [`second_step_attributes`].
     pub attributes: &'a str,
     /// Text of the query.
     pub text: &'a str,
 }
 
-/// Encodes a frame of this type and payload.
+/// Encodes a frame with the given type byte and payload.
 fn encode(format: &FrameFormat, frame_type: u8, payload: &[u8]) -> Vec<u8> {
     let length = payload.len() as u32 + 1;
     let length = if format.little_endian { length.to_le_bytes() } else { length.to_be_bytes() };
@@ -151,7 +161,7 @@
     bytes
 }
 
-/// Encodes a call frame with these parts.
+/// Encodes a call frame that carries the given parts.
 pub fn encode_call<'a>(format: &FrameFormat, parts: impl Iterator<Item = CallPart<'a>>) -> Vec<u8> {
     let mut payload = Vec::new();
     for part in parts {
@@ -163,41 +173,44 @@
     encode(format, format.call, &payload)
 }
 
-/// Encodes the frame that cancels a part.
+/// Encodes a cancel frame for the part with the given wire id.
 pub fn encode_cancel(format: &FrameFormat, id: &str) -> Vec<u8> {
     encode(format, format.cancel, id.as_bytes())
 }
 
-/// The attribute with the idempotency key of a query, by which an index server recognises a retry.
+/// Returns the attribute that carries the idempotency key of a query. Index servers recognize retries by this
+/// key.
 pub fn idempotency_key_attribute(key: &str) -> String {
     format!(",k={key}")
 }
 
-/// The attributes of a part of the second step: the shards whose answers it builds on, and whether these are complete.
+/// Returns the attributes of a part in the second step of a two-step query: the shards whose first-step
+/// answers the part builds on, and whether those answers are complete.
 pub fn second_step_attributes(from: &[u32], is_complete: bool) -> String {
     let shards: Vec<String> = from.iter().map(u32::to_string).collect();
     format!(",from={},whole={}", shards.join("+"), u8::from(is_complete))
 }
 
-/// The id of a part on the wire: the query's id, the shard, and the suffix of the second step for its parts.
+/// Returns the wire id of a part: the query id, a dot and the shard. For a part in the second step of a
+/// two-step query, `second_step` is the suffix that is appended.
 pub fn part_id(query: &str, shard: u32, second_step: Option<&str>) -> String {
     format!("{query}.{shard}{}", second_step.unwrap_or_default())
 }
 
-/// Incremental decoder of the frames of one index server.
+/// Incremental decoder for the frames that an index server sends on one connection.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     format: Rc<FrameFormat>,
-    /// Received bytes that belong to no returned frame.
+    /// Received bytes that have not been returned in a frame.
     buffer: Vec<u8>,
-    /// Bytes of the frame at the front that were searched for the end of its line.
+    /// Number of bytes at the start of the buffer that have been searched for the end of the answer line.
     scanned: usize,
-    /// Frames received completely.
+    /// Number of frames received completely.
     pub complete_frames: u64,
 }
 
 impl FrameDecoder {
-    /// A decoder of frames in this format.
+    /// Creates a decoder for frames in the given format.
     pub fn new(format: Rc<FrameFormat>) -> FrameDecoder {
         FrameDecoder { format, ..FrameDecoder::default() }
     }
@@ -207,15 +220,16 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether part of a frame has been received and its end has not.
+    /// Returns whether a frame has been received partially.
     pub fn is_mid_frame(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Returns the next frame, or `None` until it is complete.
+    /// Returns the next frame, or `None` if no complete frame has been received.
     ///
     /// # Errors
-    /// [`FrameError`], as early as the bytes show it. The decoder can't be used any further.
+    /// [`FrameError`] if the received bytes violate the protocol, where possible before the frame is
+    /// complete. The decoder can't be used after an error.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let decode_length = if self.format.little_endian { u32::from_le_bytes } else { u32::from_be_bytes };
@@ -238,12 +252,12 @@
         frame.map(Some)
     }
 
-    /// Checks what is there of an incomplete frame: its type, and the length of its line.
+    /// Checks the type of an incomplete frame and, for an answer, the length of its line.
     fn check_partial_frame(&mut self) -> Result<(), FrameError> {
         match self.buffer.get(LENGTH_BYTES).copied() {
             None => Ok(()),
-            Some(letter) if letter == self.format.rejected => Ok(()),
-            Some(letter) if letter == self.format.answer => self.check_partial_answer_line(),
+            Some(frame_type) if frame_type == self.format.rejected => Ok(()),
+            Some(frame_type) if frame_type == self.format.answer => self.check_partial_answer_line(),
             Some(_) => Err(FrameError::UnknownType),
         }
     }
@@ -251,7 +265,7 @@
     fn check_partial_answer_line(&mut self) -> Result<(), FrameError> {
         let from = self.scanned.max(HEADER_BYTES);
         let line_feed = self.buffer[from..].iter().position(|byte| *byte == b'\n');
-        // With the line feed the search is over: the value follows it.
+        // The line feed ends the line, so `scanned` does not advance past it into the value.
         self.scanned = line_feed.map_or(self.buffer.len(), |position| from + position);
         if self.scanned > HEADER_BYTES + MAX_ANSWER_LINE_BYTES {
             return Err(FrameError::MalformedAnswerLine);
@@ -275,7 +289,8 @@
         if line_end > MAX_ANSWER_LINE_BYTES {
             return Err(FrameError::MalformedAnswerLine);
         }
-        // The load report is the rest of the line. None is requested on this connection, so its bytes are not checked.
+        // The load report is the rest of the line. This service does not request reports, so its bytes are
+        // not checked.
         let fields: Vec<&[u8]> = payload[..line_end].splitn(4, |byte| *byte == b' ').collect();
         let [id, outcome, score, _report] = fields[..] else { return Err(FrameError::MalformedAnswerLine) };
         let id = line_field(id)?.to_owned();
@@ -297,13 +312,15 @@
     }
 }
 
-/// A field of an answer line as text.
+/// Decodes one field of an answer line as UTF-8.
 fn line_field(bytes: &[u8]) -> Result<&str, FrameError> {
     std::str::from_utf8(bytes).map_err(|_| FrameError::MalformedAnswerLine)
 }
 
-/// Whether a value is text as index servers send it. Any other control character shows a wrong frame length: the
-/// length field of a frame that was taken for part of the value begins with a zero byte.
+/// Returns whether a value contains no control characters other than tab, CR and LF.
+///
+/// Index servers send no others. One that does occur indicates a wrong frame length: if the length is too
+/// large, the value includes the next frame, whose length field begins with a zero byte.
 fn is_plain_text(value: &str) -> bool {
     !value.bytes().any(|byte| byte.is_ascii_control() && !matches!(byte, b'\t' | b'\n' | b'\r'))
 }
--- a/crates/protocol/src/head.rs
+++ b/crates/protocol/src/head.rs
@@ -1,18 +1,22 @@
-//! Heads of HTTP/1.1 messages ([RFC 9112](https://www.rfc-editor.org/rfc/rfc9112) sections 3 to 6), parsed in place.
+//! Parser for the head of an HTTP/1.1 message: the start line and the header fields
+//! ([RFC 9112](https://www.rfc-editor.org/rfc/rfc9112) sections 3 to 6).
 //!
-//! A [`Head`] holds ranges into the buffer it was parsed from, so its methods take that buffer again. Where the RFC
-//! lets a recipient be lenient, this parser is strict: ambiguous framing is an error, since two recipients that
-//! read the same bytes differently are what request smuggling lives on (RFC 9112 section 11.2).
+//! A [`Head`] does not copy the parsed bytes. It stores byte ranges into the buffer that it was parsed from,
+//! and its methods take that buffer as an argument.
+//!
+//! Where the RFC lets a recipient be lenient, this parser is strict. Ambiguous framing is an error, because
+//! request smuggling exploits two recipients that interpret the same bytes differently (RFC 9112 section
+//! 11.2).
 
 use crate::MAX_HEAD_BYTES;
 use std::ops::Range;
 
-/// Most field lines of one head.
+/// Maximum number of field lines in one head.
 const MAX_FIELDS: usize = 100;
-/// The end of the head: the CRLF of the last line and the empty line.
+/// Byte sequence that ends a head: the CRLF of its last line, followed by an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A message that is not HTTP/1.1 as this service accepts it.
+/// A violation of HTTP/1.1, or of the stricter subset of it that this service accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// Malformed request line or status line (RFC 9112 sections 3 and 4).
@@ -24,7 +28,7 @@
     /// The head has more than [`MAX_HEAD_BYTES`] bytes or too many field lines.
     #[error("head exceeds {MAX_HEAD_BYTES} bytes or {MAX_FIELDS} fields")]
     HeadTooLong,
-    /// An HTTP version other than 1.0 and 1.1.
+    /// The HTTP version is neither 1.0 nor 1.1.
     #[error("unsupported HTTP version")]
     BadVersion,
     /// Invalid, repeated or contradictory `Content-Length` (RFC 9112 section 6.3).
@@ -42,7 +46,7 @@
 }
 
 impl HttpError {
-    /// Every variant, for tables of codes.
+    /// All variants.
     pub const ALL: &'static [HttpError] = &[
         HttpError::BadStartLine,
         HttpError::BadHeaderField,
@@ -54,7 +58,7 @@
         HttpError::BodyTooLong,
     ];
 
-    /// The stable code used on the wire, in counters and in the log.
+    /// Returns the stable error code used in responses, counters and log lines.
     pub fn code(self) -> &'static str {
         match self {
             HttpError::BadStartLine => "bad_start",
@@ -68,7 +72,7 @@
         }
     }
 
-    /// The HTTP status code (RFC 9110 section 15) of the response to such a request.
+    /// Returns the HTTP status code (RFC 9110 section 15) of the response to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             HttpError::HeadTooLong => 431,
@@ -80,50 +84,52 @@
     }
 }
 
-/// How the body after a head is delimited (RFC 9112 section 6.3).
+/// How the end of the message body is determined (RFC 9112 section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By `Content-Length`, in bytes.
+    /// The body has the length in bytes given by `Content-Length`.
     Length(usize),
-    /// By the chunked transfer coding.
+    /// The body uses the chunked transfer coding.
     Chunked,
-    /// By neither field.
+    /// The head has neither `Content-Length` nor `Transfer-Encoding`.
     Unspecified,
 }
 
-/// The words of a start line, by their position.
+/// Position of a word in the start line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartLineWord {
     /// The method of a request, the version of a response.
     First,
     /// The target of a request, the status code of a response.
     Second,
-    /// The version of a request, the reason phrase of a response; empty if absent.
+    /// The version of a request, the reason phrase of a response. Empty if absent.
     Third,
 }
 
-/// A field line, as ranges of the buffer.
+/// A header field, as byte ranges into the parsed buffer.
 #[derive(Clone, Debug)]
 struct Field {
     name: Range<usize>,
-    /// Without the white space around it.
+    /// The value without leading and trailing white space.
     value: Range<usize>,
 }
 
-/// A parsed head, as ranges of the buffer it was parsed from.
+/// A parsed message head, as byte ranges into the buffer it was parsed from.
 #[derive(Clone, Debug, Default)]
 pub struct Head {
     start_line: [Range<usize>; 3],
     fields: Vec<Field>,
-    /// Length of the head in bytes, with the empty line that ends it.
+    /// Length of the head in bytes, including the empty line that ends it.
     pub len: usize,
 }
 
 impl Head {
-    /// Parses the head at the front of `bytes`; `None` until its end is there.
+    /// Parses the head at the start of `bytes`. Returns `None` if `bytes` does not contain the end of the
+    /// head yet.
     ///
-    /// `scanned` holds how many bytes were searched for the end before, so that a slow sender costs no repeated
-    /// search; it starts at 0 for each head.
+    /// `scanned` is the number of bytes that earlier calls have searched for the end of the head. The caller
+    /// sets it to 0 for each new head, and this function updates it, so that bytes which arrive slowly are
+    /// not searched again on each call.
     ///
     /// # Errors
     /// [`HttpError::BadStartLine`], [`HttpError::BadHeaderField`] or [`HttpError::HeadTooLong`].
@@ -149,28 +155,31 @@
         Ok(Some(head))
     }
 
-    /// A word of the start line.
+    /// Returns one word of the start line.
     pub fn start_line_word<'a>(&self, bytes: &'a [u8], word: StartLineWord) -> &'a str {
         let range = self.start_line[word as usize].clone();
         std::str::from_utf8(&bytes[range]).unwrap_or_default()
     }
 
-    /// The values of all field lines of this name, in order. Names compare without regard to case.
+    /// Returns the values of all header fields called `name` (case-insensitive), in the order of the message.
     pub fn field_values<'a>(&'a self, bytes: &'a [u8], name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let is_named = move |field: &&Field| bytes[field.name.clone()].eq_ignore_ascii_case(name.as_bytes());
         self.fields.iter().filter(is_named).map(|field| &bytes[field.value.clone()])
     }
 
-    /// Whether a comma-separated list field (RFC 9110 section 5.6.1) has this token, without regard to case.
+    /// Returns whether a comma-separated list field (RFC 9110 section 5.6.1) contains `token`
+    /// (case-insensitive).
     pub fn field_has_token(&self, bytes: &[u8], name: &str, token: &str) -> bool {
         let mut members = self.field_values(bytes, name).flat_map(|value| value.split(|byte| *byte == b','));
         members.any(|member| member.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// How the body is delimited.
+    /// Returns how the end of the body is determined.
     ///
     /// # Errors
-    /// [`HttpError::BadTransferCoding`] or [`HttpError::BadContentLength`], also where the framing is stated twice or in both ways.
+    /// * [`HttpError::BadTransferCoding`] if `Transfer-Encoding` is repeated or not exactly `chunked`.
+    /// * [`HttpError::BadContentLength`] if `Content-Length` is invalid, repeated, or combined with
+    ///   `Transfer-Encoding`.
     pub fn framing(&self, bytes: &[u8]) -> Result<Framing, HttpError> {
         let mut codings = self.field_values(bytes, "transfer-encoding");
         let mut lengths = self.field_values(bytes, "content-length");
@@ -191,26 +200,28 @@
     }
 }
 
-/// Length of the head with its end, where that is in the bytes; those before `scanned` were searched already.
+/// Returns the length of the head including [`HEAD_END`], or `None` if `bytes` does not contain its end. The
+/// first `scanned` bytes have been searched before.
 fn find_head_end(bytes: &[u8], scanned: usize) -> Option<usize> {
     let from = scanned.saturating_sub(HEAD_END.len() - 1);
     let position = bytes[from..].windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
     Some(from + position + HEAD_END.len())
 }
 
-/// The range of the line that begins at `start`, without its CRLF. A head found by its end has one after each line.
+/// Returns the range of the line that begins at `start`, without its CRLF. In a complete head, a CRLF follows
+/// every line.
 fn next_line(bytes: &[u8], start: usize, head_len: usize) -> Range<usize> {
-    let line = bytes[start..head_len].windows(2).position(|window| window == b"\r\n");
-    start..start + line.unwrap_or(0)
+    let line_len = bytes[start..head_len].windows(2).position(|window| window == b"\r\n");
+    start..start + line_len.unwrap_or(0)
 }
 
-/// Splits a start line into its words at the first two spaces; the third word may be absent.
+/// Splits a start line into three words at its first two spaces. The third word may be absent.
 fn parse_start_line(bytes: &[u8], line: Range<usize>) -> Result<[Range<usize>; 3], HttpError> {
     let text = &bytes[line.clone()];
     if text.iter().any(|byte| byte.is_ascii_control() || !byte.is_ascii()) {
         return Err(HttpError::BadStartLine);
     }
-    let mut spaces = (0..text.len()).filter(|place| text[*place] == b' ').map(|place| line.start + place);
+    let mut spaces = (0..text.len()).filter(|index| text[*index] == b' ').map(|index| line.start + index);
     let first_space = spaces.next().ok_or(HttpError::BadStartLine)?;
     let second_space = spaces.next().unwrap_or(line.end);
     let third_start = (second_space + 1).min(line.end);
@@ -221,7 +232,8 @@
     Ok(words)
 }
 
-/// Parses a field line. Line folding and white space before the colon are errors (RFC 9112 sections 5.1 and 5.2).
+/// Parses a field line. Rejects line folding and white space before the colon (RFC 9112 sections 5.1 and
+/// 5.2).
 fn parse_field_line(bytes: &[u8], line: Range<usize>) -> Result<Field, HttpError> {
     let text = &bytes[line.clone()];
     let colon = text.iter().position(|byte| *byte == b':').ok_or(HttpError::BadHeaderField)?;
@@ -234,7 +246,8 @@
     Ok(Field { name: line.start..colon, value: trim_blanks(bytes, colon + 1..line.end) })
 }
 
-/// Parses a `Content-Length`: digits only. A number that does not fit is a body that is too long for any limit.
+/// Parses the value of `Content-Length`, which may contain only digits. A number that does not fit into
+/// `usize` becomes `usize::MAX`, which exceeds every body limit.
 fn parse_content_length(value: &[u8]) -> Result<usize, HttpError> {
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(HttpError::BadContentLength);
@@ -243,12 +256,12 @@
     Ok(text.parse().unwrap_or(usize::MAX))
 }
 
-/// Whether a byte may stand in a token (RFC 9110 section 5.6.2).
+/// Returns whether a byte is allowed in a token (RFC 9110 section 5.6.2).
 fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// Narrows a range by the spaces and tabs at its ends.
+/// Returns the range without leading and trailing spaces and tabs.
 fn trim_blanks(bytes: &[u8], range: Range<usize>) -> Range<usize> {
     let is_blank = |byte: u8| matches!(byte, b' ' | b'\t');
     let mut start = range.start;
--- a/crates/protocol/src/json_stream.rs
+++ b/crates/protocol/src/json_stream.rs
@@ -1,40 +1,41 @@
-//! Splits a stream of text into JSON objects and blank lines, however the objects are broken over lines.
+//! Splits a byte stream into JSON objects and blank lines. An object may span several lines.
 
-/// Largest JSON object of a watch in bytes, white space and line breaks included: 3,200 index servers with 1,300
-/// bytes each.
+/// Maximum size of an endpoint list, as a JSON object, in bytes including white space and line breaks. It
+/// leaves room for 3,200 index servers with 1,300 bytes each.
 pub const MAX_ENDPOINT_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// A unit of the stream.
+/// An item of the stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// An empty line.
+    /// A line that is empty or contains only white space.
     BlankLine,
-    /// The bytes of one JSON object, or a line that is not one.
+    /// The bytes of one JSON object, or of a line that contains other text. The caller has to parse them.
     Text(Vec<u8>),
 }
 
-/// A piece is longer than the limit that the caller gave.
+/// The error returned for an item that is longer than the limit set by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("object or line exceeds the length limit")]
 pub struct StreamItemTooLong;
 
-/// Incremental splitter; bytes go in with [`feed`](JsonStreamSplitter::feed), pieces come out of
-/// [`next_item`](JsonStreamSplitter::next_item).
+/// Incremental splitter. Received bytes are passed to [`feed`](JsonStreamSplitter::feed), and
+/// [`next_item`](JsonStreamSplitter::next_item) returns the items.
 #[derive(Debug, Default)]
 pub struct JsonStreamSplitter {
-    /// Bytes not yet returned in a piece; new ones are appended.
+    /// Received bytes that have not been returned in an item.
     pub(crate) buffer: Vec<u8>,
-    /// Bytes at the front of the buffer that were examined already.
+    /// Number of bytes at the start of the buffer that have been examined.
     scanned: usize,
-    /// Braces that are open.
+    /// Nesting depth of the current object: the number of open braces, 0 outside of objects.
     depth: usize,
-    /// The scan is inside a JSON string.
+    /// The next byte is inside a JSON string.
     in_string: bool,
-    /// The byte before was a backslash inside a string.
+    /// The next byte is escaped by a backslash inside a JSON string.
     escaped: bool,
-    /// The current line holds something other than an object.
-    line_is_not_object: bool,
-    /// An object ended on the current line: its line end is not a blank line.
+    /// The current line has text that is not part of an object.
+    line_has_other_text: bool,
+    /// An object ended on the current line, so the line feed after the object is not reported as a blank
+    /// line.
     object_ended_on_line: bool,
 }
 
@@ -44,25 +45,25 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next piece, or `None` until it is complete.
+    /// Returns the next item, or `None` if no complete item has been received.
     ///
     /// # Errors
-    /// [`StreamItemTooLong`] if the piece has more than `max_bytes` bytes.
+    /// [`StreamItemTooLong`] if the item has more than `max_bytes` bytes.
     pub fn next_item(&mut self, max_bytes: usize) -> Result<Option<StreamItem>, StreamItemTooLong> {
         while let Some(byte) = self.buffer.get(self.scanned).copied() {
             self.scanned += 1;
             if self.scanned > max_bytes {
                 return Err(StreamItemTooLong);
             }
-            let piece = if self.depth > 0 { self.scan_object(byte) } else { self.scan_line(byte) };
-            if piece.is_some() {
-                return Ok(piece);
+            let item = if self.depth > 0 { self.scan_object(byte) } else { self.scan_line(byte) };
+            if item.is_some() {
+                return Ok(item);
             }
         }
         Ok(None)
     }
 
-    /// Examines a byte inside an object; returns the object with its last brace.
+    /// Examines a byte inside an object. Returns the object if this byte is its closing brace.
     fn scan_object(&mut self, byte: u8) -> Option<StreamItem> {
         match (self.in_string, byte) {
             (true, _) if self.escaped => self.escaped = false,
@@ -79,29 +80,30 @@
         Some(StreamItem::Text(self.take_scanned()))
     }
 
-    /// Examines a byte outside of objects; returns a blank line or a line that is not an object with its line feed.
+    /// Examines a byte outside of objects. If the byte is a line feed, returns a blank line or a line with
+    /// other text, and `None` if the line only contained the end of an object.
     fn scan_line(&mut self, byte: u8) -> Option<StreamItem> {
         match byte {
             b'\n' => return self.finish_line(),
-            b'{' if !self.line_is_not_object => self.depth = 1,
+            b'{' if !self.line_has_other_text => self.depth = 1,
             blank if blank.is_ascii_whitespace() => {}
-            _ => self.line_is_not_object = true,
+            _ => self.line_has_other_text = true,
         }
         None
     }
 
-    /// Takes the line that ended and resets what is known of it.
+    /// Removes the completed line from the buffer, resets the state of the line, and returns the item for it.
     fn finish_line(&mut self) -> Option<StreamItem> {
         let line = self.take_scanned();
-        let is_not_object = std::mem::take(&mut self.line_is_not_object);
+        let has_other_text = std::mem::take(&mut self.line_has_other_text);
         let object_ended = std::mem::take(&mut self.object_ended_on_line);
-        if is_not_object {
+        if has_other_text {
             return Some(StreamItem::Text(line));
         }
         (!object_ended).then_some(StreamItem::BlankLine)
     }
 
-    /// Removes the examined bytes from the buffer.
+    /// Removes the examined bytes from the buffer and returns them.
     fn take_scanned(&mut self) -> Vec<u8> {
         let scanned = std::mem::take(&mut self.scanned);
         self.buffer.drain(..scanned).collect()
--- a/crates/protocol/src/names.rs
+++ b/crates/protocol/src/names.rs
@@ -1,22 +1,25 @@
-//! Names and formats on the wire: header fields, paths, JSON keys, and the format of frames.
+//! The names and formats used on the wire: header fields, paths, JSON keys, and the format of frames.
 //!
-//! The defaults are those of the protocol page. Another operator's deployment may override them with a file of names,
-//! read by [`WireNames::read`]; what that file does not state keeps its default.
+//! The defaults are those of the operators' protocol page. A deployment can override them with a JSON file,
+//! the names file, which [`WireNames::read`] reads. Names that the file does not contain keep their defaults.
 
 use serde_json::{Map, Value};
 
-/// A fault in a file of names.
+/// An invalid entry of the names file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("name '{key}' {problem}")]
 pub struct WireNamesError {
-    /// The key at fault, with its group and a dot before it if it is in one.
+    /// Key of the invalid entry, as `group.key` if the entry is in a group. Empty if the file itself is
+    /// invalid.
     pub key: String,
-    /// What is wrong with its value.
+    /// Description of the problem, worded to follow the key.
     pub problem: &'static str,
 }
 
-/// Declares a group of names: a struct with a `String` field for each name, with the key of the group in the file of
-/// names, and for each name the key in that group and the default.
+/// Declares a group of names as a struct with one `String` field per name.
+///
+/// The literal after `at` is the key of the group in the names file. The two literals after each field are
+/// the key of the name within the group, and the default.
 macro_rules! name_group {
     (
         $(#[$group_doc:meta])*
@@ -48,17 +51,17 @@
 name_group! {
     /// Header fields of a query.
     HeaderNames at "h" {
-        /// The query id.
+        /// Query id.
         id "id" "X-Trace-Id",
-        /// The class of the query.
+        /// Class of the query.
         class "class" "X-Qos",
-        /// The tenant.
+        /// Tenant that sends the query.
         tenant "tenant" "X-Customer",
-        /// The time that the client waits, in milliseconds.
+        /// How long the client waits for the answer, in milliseconds.
         expires "deadline" "X-Expires-In-Ms",
-        /// Marks a retry by the client.
+        /// Marks the query as a retry by the client.
         retry "retry" "X-Second-Try",
-        /// The idempotency key, by which index servers recognise a retry.
+        /// Idempotency key, by which index servers recognize a retry.
         idempotency_key "idempotency" "Idempotency-Key",
     }
 }
@@ -66,23 +69,23 @@
 name_group! {
     /// HTTP paths.
     HttpPaths at "paths" {
-        /// Readiness of the front node.
+        /// Readiness check of the front node.
         ready "ready" "/health/ready",
-        /// Liveness of the front node.
+        /// Liveness check of the front node.
         live "health" "/health/live",
         /// Counters of the front node.
         stats "load" "/stats",
-        /// The endpoint list, at discovery.
-        list "list" "/registry/instances",
+        /// Endpoint list, on the discovery service.
+        endpoint_list "list" "/registry/instances",
     }
 }
 
 name_group! {
-    /// Query parameters of a request for the endpoint list.
+    /// URL query parameters of a request for the endpoint list.
     WatchParameters at "q" {
-        /// The known version.
+        /// The version after which changes are requested.
         after "after" "after",
-        /// Requests a watch.
+        /// Requests a watch instead of a single response.
         watch "watch" "watch",
     }
 }
@@ -90,11 +93,11 @@
 name_group! {
     /// JSON keys of an endpoint list and of its entries.
     EndpointListKeys at "f" {
-        /// The version.
+        /// Version of the list.
         version "version" "index",
-        /// Whether the list is complete.
+        /// Whether the list is complete; otherwise it contains the changes to an earlier version.
         complete "full" "snapshot",
-        /// The entries.
+        /// Entries of the list, one per endpoint.
         entries "list" "endpoints",
         /// Name of an endpoint.
         name "id" "name",
@@ -106,7 +109,7 @@
         status "state" "status",
         /// Relative capacity of an endpoint.
         weight "weight" "weight",
-        /// Last start of an endpoint, in milliseconds of Unix time.
+        /// Time of the last start of an endpoint, in milliseconds of Unix time.
         start_time "started" "since_ms",
     }
 }
@@ -118,7 +121,7 @@
         up "ready" "up",
         /// Shutting down gracefully.
         draining "draining" "draining",
-        /// No longer there.
+        /// Removed from the list.
         removed "gone" "removed",
     }
 }
@@ -126,41 +129,41 @@
 name_group! {
     /// JSON keys of the bodies of queries and answers, and the suffix of second-step part ids.
     BodyKeys at "fan" {
-        /// The parts of a query.
+        /// Parts of a query.
         parts "parts" "slices",
         /// Shard of a part.
         shard "shard" "slice",
-        /// Weight of a part: its fraction of the complete answer.
+        /// Weight of a part: the fraction of the complete answer that it contributes.
         weight "weight" "mass",
-        /// Hint of the work of a part, in microseconds.
-        work "hint" "micros",
+        /// Estimated work of a part, in microseconds.
+        work_hint "hint" "micros",
         /// Text of the query.
         text "text" "filter",
         /// Whether an answer is complete.
         complete "whole" "entire",
-        /// The values of an answer.
+        /// Values of an answer, one per part that was served.
         items "hits" "items",
-        /// One value of an answer.
+        /// Value of one part.
         value "value" "body",
-        /// Suffix of the id of a part of the second step.
+        /// Suffix of the wire id of a part in the second step of a two-step query.
         second_step "second" ".phase2",
     }
 }
 
-/// Format of frames: type bytes, byte order, and the words of outcomes.
+/// Format of the frames between front nodes and index servers; see [`crate::frames`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FrameFormat {
-    /// Type byte of a call.
+    /// Type byte of a call frame.
     pub call: u8,
-    /// Type byte of the cancellation of a part.
+    /// Type byte of a cancel frame.
     pub cancel: u8,
-    /// Type byte of an answer.
+    /// Type byte of an answer frame.
     pub answer: u8,
-    /// Type byte of the rejection of a frame.
+    /// Type byte of a reject frame.
     pub rejected: u8,
-    /// The length field is little-endian; big-endian otherwise.
+    /// Whether the length field is little-endian instead of big-endian.
     pub little_endian: bool,
-    /// The words for the outcome of a part: served, failed, rejected.
+    /// Words for the outcome of a part, in the order served, failed, rejected.
     pub outcome_words: [String; 3],
 }
 
@@ -186,19 +189,20 @@
         }
         if let Some(little) = group.get("little") {
             format.little_endian =
-                little.as_bool().ok_or_else(|| fault("fan", "little", "is not true or false"))?;
+                little.as_bool().ok_or_else(|| invalid_name("fan", "little", "is not a boolean"))?;
         }
         if let Some(ends) = group.get("ends") {
-            format.outcome_words =
-                read_three_words(ends).ok_or_else(|| fault("fan", "ends", "is not three words"))?;
+            format.outcome_words = read_three_strings(ends)
+                .ok_or_else(|| invalid_name("fan", "ends", "is not an array of three strings"))?;
         }
         Ok(format)
     }
 
-    /// Sets the type bytes from a word of six letters; the third and fourth are for frames not used here.
+    /// Sets the type bytes from a string of six bytes, one per frame type. The third and fourth byte belong
+    /// to frame types that this service does not use.
     fn set_types(&mut self, types: &str) -> Result<(), WireNamesError> {
         let &[call, cancel, _, _, answer, rejected] = types.as_bytes() else {
-            return Err(fault("fan", "frames", "is not six letters"));
+            return Err(invalid_name("fan", "frames", "does not have exactly six characters"));
         };
         self.call = call;
         self.cancel = cancel;
@@ -208,32 +212,31 @@
     }
 }
 
-fn read_three_words(value: &Value) -> Option<[String; 3]> {
+fn read_three_strings(value: &Value) -> Option<[String; 3]> {
     let [first, second, third] = value.as_array()?.as_slice() else { return None };
     Some([first.as_str()?.to_owned(), second.as_str()?.to_owned(), third.as_str()?.to_owned()])
 }
 
-/// All names of a deployment.
+/// All configurable names and formats of a deployment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WireNames {
     /// Header fields of a query.
     pub header_names: HeaderNames,
     /// HTTP paths.
     pub paths: HttpPaths,
-    /// Query parameters of a request for the endpoint list.
+    /// URL query parameters of a request for the endpoint list.
     pub watch_parameters: WatchParameters,
-    /// Keys of the endpoint list.
+    /// JSON keys of an endpoint list.
     pub endpoint_list_keys: EndpointListKeys,
     /// Values of the status of an endpoint.
     pub status_values: StatusValues,
-    /// Keys of bodies.
+    /// JSON keys of the bodies of queries and answers.
     pub body_keys: BodyKeys,
-    /// Format of frames.
+    /// Format of the frames between front nodes and index servers.
     pub frame_format: FrameFormat,
 }
 
-/// Protocol variants that are supported: the keys by which a file of names may state them, and the only
-/// value supported.
+/// Keys of the names file that select a protocol variant, each with the only value that is supported.
 const SUPPORTED_VARIANTS: [(&str, &str); 5] = [
     ("family", "fanout"),
     ("proto", "http"),
@@ -243,15 +246,15 @@
 ];
 
 impl WireNames {
-    /// Reads a file of names in the operators' form.
+    /// Reads the names from the content of the names file. Keys that are not known are ignored.
     ///
     /// # Errors
-    /// [`WireNamesError`], the first fault found.
+    /// [`WireNamesError`] for the first invalid entry found.
     pub fn read(file: &Value) -> Result<WireNames, WireNamesError> {
-        let file = file.as_object().ok_or_else(|| fault("", "", "is not an object"))?;
+        let file = file.as_object().ok_or_else(|| invalid_name("", "", "is not an object"))?;
         for (key, supported) in SUPPORTED_VARIANTS {
             if read_word(file, "", key)?.is_some_and(|variant| variant != supported) {
-                return Err(fault("", key, "states a form that is not supported"));
+                return Err(invalid_name("", key, "selects a protocol variant that is not supported"));
             }
         }
         Ok(WireNames {
@@ -266,7 +269,7 @@
     }
 }
 
-fn fault(group: &str, key: &str, problem: &'static str) -> WireNamesError {
+fn invalid_name(group: &str, key: &str, problem: &'static str) -> WireNamesError {
     let key = if group.is_empty() { key.to_owned() } else { format!("{group}.{key}") };
     WireNamesError { key, problem }
 }
@@ -277,11 +280,11 @@
 ) -> Result<Option<&'a Map<String, Value>>, WireNamesError> {
     match file.get(key) {
         None | Some(Value::Null) => Ok(None),
-        Some(group) => group.as_object().map(Some).ok_or_else(|| fault("", key, "is not an object")),
+        Some(group) => group.as_object().map(Some).ok_or_else(|| invalid_name("", key, "is not an object")),
     }
 }
 
-/// Reads a value of visible ASCII characters; `None` if it is absent or null.
+/// Reads a string of visible ASCII characters without spaces. Returns `None` if the key is absent or null.
 fn read_word(
     group: &Map<String, Value>,
     group_key: &str,
@@ -291,8 +294,9 @@
     match group.get(key) {
         None | Some(Value::Null) => Ok(None),
         Some(value) => {
-            let word =
-                value.as_str().filter(is_word).ok_or_else(|| fault(group_key, key, "is not one word"))?;
+            let word = value.as_str().filter(is_word).ok_or_else(|| {
+                invalid_name(group_key, key, "is not a non-empty string of visible ASCII characters")
+            })?;
             Ok(Some(word.to_owned()))
         }
     }
--- a/crates/protocol/src/query.rs
+++ b/crates/protocol/src/query.rs
@@ -1,43 +1,45 @@
-//! Client queries: checks of their header values, and the JSON bodies of queries and answers.
+//! Client queries: validation of their header fields, and the JSON bodies of queries and answers.
 
 use crate::names::BodyKeys;
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Longest query id, in bytes.
+/// Maximum length of a query id, in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 128;
-/// Longest time that a client may wait, in milliseconds: an hour.
+/// Maximum time that a client may wait for an answer, in milliseconds (one hour).
 const MAX_EXPIRY_MS: u64 = 3_600_000;
-/// Work hints are below this, in microseconds.
+/// Exclusive upper bound for a work hint, in microseconds.
 const WORK_HINT_LIMIT_US: f64 = 1e12;
-/// Tolerance for rounding: how far the sum of the weights may be from 1.
+/// Allowed difference between 1 and the sum of the weights of a query's parts, for rounding.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// A query that is rejected for its form.
+/// The reason why a query is rejected as malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QueryError {
-    /// The id is missing or can't be a field of a frame.
-    #[error("query id is missing or not a word of at most {MAX_ID_BYTES} bytes without a dot")]
+    /// The query id is missing or can't be used as a field of a frame.
+    #[error("query id is missing or not 1 to {MAX_ID_BYTES} visible ASCII characters without a dot")]
     Id,
-    /// The idempotency key is required and missing, or can't be an attribute of a frame.
-    #[error("idempotency key is missing or not a word of at most {MAX_KEY_BYTES} bytes without a comma")]
+    /// The idempotency key is required and missing, or can't be used as an attribute of a frame.
+    #[error(
+        "idempotency key is missing or not 1 to {MAX_KEY_BYTES} visible ASCII characters without a comma"
+    )]
     IdempotencyKey,
-    /// The time the client waits is missing or out of range.
-    #[error("expiry is missing or not a number of milliseconds up to {MAX_EXPIRY_MS}")]
+    /// The time that the client waits is missing or out of range.
+    #[error("expiry is missing or not a whole number of milliseconds up to {MAX_EXPIRY_MS}")]
     Expiry,
     /// The body is not JSON.
     #[error("body is not JSON")]
     Json,
-    /// The body has no list of parts, or an empty one.
+    /// The list of parts is missing or empty.
     #[error("list of parts is missing or empty")]
     Parts,
-    /// A part is malformed.
-    #[error("malformed part")]
+    /// A part has a missing or invalid field.
+    #[error("a part has a missing or invalid field")]
     Part,
-    /// A part has a shard that the layout does not have.
-    #[error("part with an unknown shard")]
+    /// The shard of a part is not below the number of shards of the deployment.
+    #[error("a part has an unknown shard")]
     Shard,
     /// Two parts have the same shard.
     #[error("two parts with the same shard")]
@@ -51,7 +53,7 @@
 }
 
 impl QueryError {
-    /// The stable code used on the wire and in counters.
+    /// Returns the stable error code used in responses and counters.
     pub fn code(self) -> &'static str {
         match self {
             QueryError::Id => "bad_id",
@@ -68,41 +70,45 @@
     }
 }
 
-/// One part of a query, as the client requests it.
+/// One part of a query, as requested by the client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestedPart {
     /// Shard to search.
     pub shard: u32,
-    /// Fraction of the complete answer that this part makes up, in `0.0..=1.0` without 0.
+    /// Fraction of the complete answer that this part contributes, greater than 0 and at most 1.
     pub weight: f64,
-    /// Hint of the work in microseconds, if the client gave one.
+    /// The client's estimate of the work in microseconds, if it sent one.
     pub work_hint_us: Option<i64>,
 }
 
 /// The body of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryBody {
-    /// The parts, in the order of the body.
+    /// Parts of the query, in the order of the body.
     pub parts: Vec<RequestedPart>,
-    /// The text that each part takes to its index server.
+    /// Text of the query, which is sent to the index servers with each part.
     pub text: String,
 }
 
-/// Checks a query id. It becomes a field of frames, so it has no white space; a dot separates it from the shard in
-/// part ids, so it has none.
+/// Validates a query id.
+///
+/// The id is used as a field of frames, so it must not contain white space. In the wire id of a part, a dot
+/// separates the query id from the shard, so the query id must not contain a dot.
 ///
 /// # Errors
-/// [`QueryError::Id`].
+/// [`QueryError::Id`] if the id is missing or invalid.
 pub fn parse_query_id(value: Option<&str>) -> Result<&str, QueryError> {
     let is_word = |id: &str| id.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'.');
     let is_valid = |id: &&str| !id.is_empty() && id.len() <= MAX_ID_BYTES && is_word(id);
     value.filter(is_valid).ok_or(QueryError::Id)
 }
 
-/// Checks an idempotency key. It becomes an attribute of frames, so it has neither white space nor a comma.
+/// Validates an idempotency key. Returns `None` if there is none and none is required.
+///
+/// The key is used as an attribute in call frames, so it must contain neither white space nor a comma.
 ///
 /// # Errors
-/// [`QueryError::IdempotencyKey`], also if the class of the query requires a key and there is none.
+/// [`QueryError::IdempotencyKey`] if the key is invalid, or if it is missing although `is_required` is true.
 pub fn parse_idempotency_key(value: Option<&str>, is_required: bool) -> Result<Option<&str>, QueryError> {
     let Some(key) = value else {
         return if is_required { Err(QueryError::IdempotencyKey) } else { Ok(None) };
@@ -114,10 +120,11 @@
     Ok(Some(key))
 }
 
-/// Parses the time that the client waits, in milliseconds, and returns it in microseconds.
+/// Parses the time that the client waits for an answer, given in milliseconds, and returns it in
+/// microseconds.
 ///
 /// # Errors
-/// [`QueryError::Expiry`].
+/// [`QueryError::Expiry`] if the value is missing, not a number, or above one hour.
 pub fn parse_expiry(value: Option<&str>) -> Result<i64, QueryError> {
     let is_digits = |text: &&str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     let digits = value.filter(is_digits).ok_or(QueryError::Expiry)?;
@@ -128,38 +135,38 @@
     Ok(milliseconds as i64 * 1000)
 }
 
-/// Parses a query's body, for a layout of `shards` shards.
+/// Parses the body of a query. `shards` is the number of shards of the deployment.
 ///
 /// # Errors
-/// [`QueryError`], the first fault found.
-pub fn parse_query_body(body: &[u8], names: &BodyKeys, shards: u32) -> Result<QueryBody, QueryError> {
+/// [`QueryError`] for the first problem found.
+pub fn parse_query_body(body: &[u8], keys: &BodyKeys, shards: u32) -> Result<QueryBody, QueryError> {
     let body: Value = serde_json::from_slice(body).map_err(|_| QueryError::Json)?;
-    let listed = body.get(&names.parts).and_then(Value::as_array).ok_or(QueryError::Parts)?;
+    let listed = body.get(&keys.parts).and_then(Value::as_array).ok_or(QueryError::Parts)?;
     if listed.is_empty() {
         return Err(QueryError::Parts);
     }
     let parts: Vec<RequestedPart> =
-        listed.iter().map(|value| parse_part(value, names, shards)).collect::<Result<_, _>>()?;
+        listed.iter().map(|value| parse_part(value, keys, shards)).collect::<Result<_, _>>()?;
     check_shards_differ(&parts)?;
     let weight_sum: f64 = parts.iter().map(|part| part.weight).sum();
     if (weight_sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
         return Err(QueryError::Weights);
     }
-    let text = match body.get(&names.text) {
+    let text = match body.get(&keys.text) {
         None => String::new(),
         Some(text) => text.as_str().ok_or(QueryError::Text)?.to_owned(),
     };
     Ok(QueryBody { parts, text })
 }
 
-fn parse_part(value: &Value, names: &BodyKeys, shards: u32) -> Result<RequestedPart, QueryError> {
-    let shard = value.get(&names.shard).and_then(Value::as_u64).ok_or(QueryError::Part)?;
+fn parse_part(value: &Value, keys: &BodyKeys, shards: u32) -> Result<RequestedPart, QueryError> {
+    let shard = value.get(&keys.shard).and_then(Value::as_u64).ok_or(QueryError::Part)?;
     let shard = u32::try_from(shard).ok().filter(|shard| *shard < shards).ok_or(QueryError::Shard)?;
-    let work_hint_us = match value.get(&names.work) {
+    let work_hint_us = match value.get(&keys.work_hint) {
         None | Some(Value::Null) => None,
         Some(work) => Some(parse_work_hint(work)?),
     };
-    let weight = value.get(&names.weight).and_then(Value::as_f64).ok_or(QueryError::Part)?;
+    let weight = value.get(&keys.weight).and_then(Value::as_f64).ok_or(QueryError::Part)?;
     if !(weight > 0.0 && weight <= 1.0) {
         return Err(QueryError::Part);
     }
@@ -181,23 +188,23 @@
     Ok(())
 }
 
-/// Encodes the body of an answer: whether it is complete, and the shard and the value of each part that was served.
+/// Encodes the body of an answer. `values` are the shard and value of each part that was served.
 pub fn encode_answer_body<'a>(
-    names: &BodyKeys,
+    keys: &BodyKeys,
     is_complete: bool,
     values: impl Iterator<Item = (u32, &'a str)>,
 ) -> Vec<u8> {
     let mut body = String::from("{");
-    push_quoted(&names.complete, &mut body);
+    push_quoted(&keys.complete, &mut body);
     body.push_str(if is_complete { ":true," } else { ":false," });
-    push_quoted(&names.items, &mut body);
+    push_quoted(&keys.items, &mut body);
     body.push_str(":[");
     for (index, (shard, value)) in values.enumerate() {
         body.push_str(if index > 0 { ",{" } else { "{" });
-        push_quoted(&names.shard, &mut body);
+        push_quoted(&keys.shard, &mut body);
         // Writing to a String does not fail.
         let _ = write!(body, ":{shard},");
-        push_quoted(&names.value, &mut body);
+        push_quoted(&keys.value, &mut body);
         body.push(':');
         push_quoted(value, &mut body);
         body.push('}');
@@ -206,7 +213,7 @@
     body.into_bytes()
 }
 
-/// Encodes the body of a response without an answer: the code of the reason.
+/// Encodes the body of a response without an answer, which contains the error code.
 pub fn encode_reason_body(code: &str) -> Vec<u8> {
     let mut body = String::from("{\"reason\":");
     push_quoted(code, &mut body);
@@ -214,7 +221,7 @@
     body.into_bytes()
 }
 
-/// Appends a JSON string ([RFC 8259 section 7](https://www.rfc-editor.org/rfc/rfc8259#section-7)).
+/// Appends `text` as a JSON string ([RFC 8259 section 7](https://www.rfc-editor.org/rfc/rfc8259#section-7)).
 fn push_quoted(text: &str, json: &mut String) {
     json.push('"');
     for character in text.chars() {
--- a/crates/protocol/src/requests.rs
+++ b/crates/protocol/src/requests.rs
@@ -1,47 +1,47 @@
-//! The server's side of an HTTP/1.1 connection ([RFC 9112](https://www.rfc-editor.org/rfc/rfc9112)): bytes in, one
-//! request after the other out, and the heads of responses.
+//! The server side of an HTTP/1.1 connection ([RFC 9112](https://www.rfc-editor.org/rfc/rfc9112)): an
+//! incremental parser for requests, and an encoder for the heads of responses.
 
 use crate::chunks::ChunkedDecoder;
 use crate::head::{Framing, Head, HttpError, StartLineWord};
 use crate::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use std::ops::Range;
 
-/// Capacity that the receive buffer keeps between requests, in bytes.
+/// Capacity in bytes to which the receive buffer is shrunk between requests.
 const IDLE_BUFFER_BYTES: usize = 4096;
 
-/// How much of the next request has been received.
+/// How much of the current request has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestProgress {
-    /// Nothing.
+    /// No byte of the request has been received.
     Idle,
-    /// A part of it.
+    /// The request has been received partially.
     Partial,
-    /// All of it: [`RequestParser::request`] returns it.
+    /// The request is complete, and [`RequestParser::request`] returns it.
     Complete,
 }
 
-/// A complete request; it borrows the bytes of its connection.
+/// A complete request, borrowed from its [`RequestParser`].
 #[derive(Debug)]
 pub struct Request<'a> {
     head: &'a Head,
     bytes: &'a [u8],
-    /// The body, without its transfer coding.
+    /// The body, after the transfer coding has been removed.
     pub body: &'a [u8],
 }
 
 impl<'a> Request<'a> {
-    /// The method.
+    /// Returns the method.
     pub fn method(&self) -> &'a str {
         self.head.start_line_word(self.bytes, StartLineWord::First)
     }
 
-    /// The path of the request target, without the query component.
+    /// Returns the path of the request target, without the query component.
     pub fn path(&self) -> &'a str {
         let target = self.head.start_line_word(self.bytes, StartLineWord::Second);
         target.split_once('?').map_or(target, |(path, _)| path)
     }
 
-    /// The value of a header field, `None` if the request has no such field.
+    /// Returns the value of a header field, or `None` if the request does not contain the field.
     ///
     /// # Errors
     /// [`AmbiguousField`] if the field is repeated or not UTF-8.
@@ -54,7 +54,7 @@
         std::str::from_utf8(value).map(Some).map_err(|_| AmbiguousField)
     }
 
-    /// Whether the client lets the connection persist after the response (RFC 9112 section 9.3).
+    /// Returns whether the client allows the connection to persist after the response (RFC 9112 section 9.3).
     pub fn keeps_alive(&self) -> bool {
         let is_http_1_0 = self.head.start_line_word(self.bytes, StartLineWord::Third) == "HTTP/1.0";
         if is_http_1_0 {
@@ -65,27 +65,28 @@
     }
 }
 
-/// A header field that is repeated or not UTF-8, so that its value is not certain.
+/// The error returned for a header field that is repeated or not UTF-8, so that its value is ambiguous.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("header field is repeated or not UTF-8")]
 pub struct AmbiguousField;
 
-/// The requests of one connection, in order.
+/// Incremental parser for the requests of one connection. It parses pipelined requests one after the other.
 #[derive(Debug, Default)]
 pub struct RequestParser {
-    /// Received bytes from the start of the current request on. Of a chunked body no bytes stay here.
+    /// Received bytes, beginning with the current request. Bytes of a chunked body are removed as they are
+    /// decoded.
     buffer: Vec<u8>,
-    /// Bytes of the buffer that were searched for the end of the head.
+    /// Number of bytes at the start of the buffer that have been searched for the end of the head.
     scanned: usize,
-    /// The head of the current request.
+    /// Head of the current request, if it is complete.
     head: Option<Head>,
-    /// The decoder of its body, if that is chunked.
+    /// Decoder for the body of the current request, if the body is chunked.
     chunked: Option<ChunkedDecoder>,
-    /// The decoded chunked body.
+    /// Decoded bytes of a chunked body.
     decoded_body: Vec<u8>,
-    /// Where a body that is not chunked lies in the buffer.
+    /// Range of the body in the buffer. Empty if the body is chunked.
     body: Range<usize>,
-    /// Bytes of the buffer that the current request takes, once it is complete.
+    /// Number of buffered bytes that belong to the current request, if it is complete.
     complete_len: Option<usize>,
 }
 
@@ -95,20 +96,21 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether more bytes should be read now: the backpressure on a client that pipelines requests.
+    /// Returns whether the caller should read more bytes. Returns false if the buffer is full, which applies
+    /// backpressure to a client that pipelines requests.
     pub fn wants_read(&self) -> bool {
         self.buffer.len() <= MAX_HEAD_BYTES + MAX_BODY_BYTES
     }
 
-    /// Whether nothing is buffered.
+    /// Returns whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Parses as far as the received bytes go.
+    /// Parses the received bytes of the current request.
     ///
     /// # Errors
-    /// [`HttpError`]; the connection can't be used any further.
+    /// [`HttpError`] if the request is malformed or too large. The connection can't be used after an error.
     pub fn parse(&mut self) -> Result<RequestProgress, HttpError> {
         if self.complete_len.is_some() {
             return Ok(RequestProgress::Complete);
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Prepares for the body that the head announces (RFC 9112 section 6).
+    /// Prepares to read the body described by the head (RFC 9112 section 6).
     fn begin_body(&mut self, head: &Head) -> Result<(), HttpError> {
         self.body = head.len..head.len;
         match head.framing(&self.buffer)? {
@@ -148,13 +150,15 @@
             Framing::Length(length) if length > MAX_BODY_BYTES => return Err(HttpError::BodyTooLong),
             Framing::Length(length) => {
                 self.body.end += length;
-                // Exactly what the body needs: many clients may send slowly at once.
+                // Reserves no more than the body needs, because many slow clients may hold such a buffer at
+                // once.
                 self.buffer.reserve_exact(self.body.end.saturating_sub(self.buffer.len()));
             }
             Framing::Chunked => {
                 let version = head.start_line_word(&self.buffer, StartLineWord::Third);
                 if version != "HTTP/1.1" {
-                    // RFC 9112 section 6.1: a transfer coding in an HTTP/1.0 message makes its framing faulty.
+                    // RFC 9112 section 6.1: the framing of an HTTP/1.0 message with a transfer coding is
+                    // faulty.
                     return Err(HttpError::BadTransferCoding);
                 }
                 self.chunked = Some(ChunkedDecoder::default());
@@ -163,17 +167,18 @@
         Ok(())
     }
 
-    /// Reads the body as far as the received bytes go; true if it is complete.
+    /// Reads the received bytes of the body. Returns true if the body is complete.
     fn read_body(&mut self) -> Result<bool, HttpError> {
         let Some(chunked) = &mut self.chunked else { return Ok(self.buffer.len() >= self.body.end) };
-        // Encoded bytes are dropped as they are decoded: the buffer keeps the head and what follows the body.
+        // Removes the encoded bytes as they are decoded, so that the buffer holds the head and the bytes
+        // after the body.
         let start = self.body.end;
         let consumed = chunked.decode(&self.buffer[start..], &mut self.decoded_body, MAX_BODY_BYTES)?;
         self.buffer.drain(start..start + consumed);
         Ok(chunked.is_done())
     }
 
-    /// The current request, if it is complete.
+    /// Returns the current request, or `None` if it is not complete.
     pub fn request(&self) -> Option<Request<'_>> {
         self.complete_len?;
         let head = self.head.as_ref()?;
@@ -184,12 +189,12 @@
         Some(Request { head, bytes: &self.buffer, body })
     }
 
-    /// Buffered bytes after the current request; 0 until that is complete.
+    /// Returns the number of buffered bytes after the current request, or 0 if the request is not complete.
     pub fn buffered_after_request(&self) -> usize {
         self.complete_len.map_or(0, |len| self.buffer.len() - len)
     }
 
-    /// Removes the current request, if it is complete; the next one begins after it.
+    /// Removes the current request from the buffer if it is complete, so that the next one can be parsed.
     pub fn finish_request(&mut self) {
         if let Some(len) = self.complete_len.take() {
             self.buffer.drain(..len);
@@ -216,7 +221,7 @@
     Ok(())
 }
 
-/// The reason phrase of a status code (RFC 9110 section 15).
+/// Returns the reason phrase for a status code (RFC 9110 section 15).
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -237,8 +242,9 @@
 
 /// Encodes the head of a response with a JSON body of `length` bytes.
 ///
-/// `retry_after_us` is the delay before a retry in microseconds; the service's protocol states it in seconds with
-/// decimals, an extension of RFC 9110 section 10.2.3.
+/// `retry_after_us` is the delay in microseconds after which the client may retry. It is sent as
+/// `Retry-After` in seconds with three decimals, which extends the whole seconds of RFC 9110 section 10.2.3.
+/// If `close` is true, the head announces that the connection will be closed.
 pub fn response_head(status: u16, length: usize, retry_after_us: Option<i64>, close: bool) -> Vec<u8> {
     let reason = reason_phrase(status);
     let mut head = format!("HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\n");
--- a/crates/protocol/src/watch.rs
+++ b/crates/protocol/src/watch.rs
@@ -1,4 +1,7 @@
-//! The client's side of a watch on discovery: an HTTP response that stays open and carries JSON lists and blank lines.
+//! The client side of a watch on the discovery service.
+//!
+//! A watch is an HTTP response that stays open. Its body carries updates of the endpoint list as JSON
+//! objects, and blank lines as keep-alives.
 
 use crate::chunks::ChunkedDecoder;
 use crate::endpoint_list::{parse_list_update, EndpointListError, ListUpdate};
@@ -7,61 +10,63 @@
 use crate::names::WireNames;
 use std::rc::Rc;
 
-/// An event of a watch.
+/// An event received on a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// The complete list, or changes to it.
+    /// The complete endpoint list, or the changes to an earlier version.
     Update(ListUpdate),
-    /// A blank line: nothing has changed, and the connection is alive.
+    /// A blank line. The list has not changed, and the connection is alive.
     KeepAlive,
 }
 
-/// A watch that has failed. The connection can't be used any further.
+/// The reason why a watch failed. The connection can't be used after it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchError {
-    /// The response is not valid HTTP.
+    /// The response is not valid HTTP, or an endpoint list exceeds its size limit.
     #[error("invalid HTTP response: {0}")]
     Http(#[from] HttpError),
-    /// The response has a status other than 200.
-    #[error("response with status {0}")]
+    /// The response has a status code other than 200.
+    #[error("response with status {0} instead of 200")]
     Status(u16),
-    /// A line of the body is not an endpoint list.
+    /// The body contains text that is not a valid endpoint list.
     #[error(transparent)]
     EndpointList(#[from] EndpointListError),
 }
 
-/// How the body of the response is delimited.
+/// How the end of the response body is determined, and how much of the body is outstanding.
 #[derive(Debug)]
 enum Body {
+    /// The body uses the chunked transfer coding.
     Chunked(ChunkedDecoder),
-    /// By its length; the number is the bytes still to come.
+    /// The head gives the length of the body. Contains the number of bytes not yet received.
     Length(usize),
-    /// By the end of the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// State of one watch.
+/// Incremental decoder for the response of one watch.
 #[derive(Debug, Default)]
 pub struct WatchDecoder {
     names: Rc<WireNames>,
-    /// Received bytes of the head, until it is complete.
+    /// Received bytes of the head. Empty after the head is complete.
     head: Vec<u8>,
-    /// Bytes of the head that were searched for its end.
+    /// Number of bytes of the head that have been searched for its end.
     scanned: usize,
-    /// The body, once the head is complete.
+    /// State of the body, if the head is complete.
     body: Option<Body>,
+    /// Splits the body into endpoint lists and blank lines.
     lists: JsonStreamSplitter,
-    /// A fault in the received bytes. Events that were complete before it are still returned.
+    /// The error found in the received bytes, if any. Events that were complete before it are returned first.
     failed: Option<WatchError>,
 }
 
 impl WatchDecoder {
-    /// A watch on lists with these names.
+    /// Creates a decoder for endpoint lists with the given names.
     pub fn new(names: Rc<WireNames>) -> WatchDecoder {
         WatchDecoder { names, ..WatchDecoder::default() }
     }
 
-    /// Processes received bytes.
+    /// Processes received bytes. An error in them is returned by [`next_event`](WatchDecoder::next_event).
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.failed.is_none() {
             self.failed = self.process(bytes).err();
@@ -79,7 +84,7 @@
         self.process_body(&after_head)
     }
 
-    /// Checks the status line (RFC 9112 section 4) and finds how the body is delimited (section 6.3).
+    /// Checks the status line (RFC 9112 section 4) and determines the framing of the body (section 6.3).
     fn begin_body(&self, head: &Head) -> Result<Body, WatchError> {
         let version = head.start_line_word(&self.head, StartLineWord::First);
         if !version.starts_with("HTTP/1.") {
@@ -117,10 +122,10 @@
         Ok(())
     }
 
-    /// Returns the next event, or `None` until one is complete.
+    /// Returns the next event, or `None` if no complete event has been received.
     ///
     /// # Errors
-    /// [`WatchError`]; the connection can't be used any further.
+    /// [`WatchError`] if the response is not a valid watch. The connection can't be used after an error.
     pub fn next_event(&mut self) -> Result<Option<WatchEvent>, WatchError> {
         match self.lists.next_item(MAX_ENDPOINT_LIST_BYTES) {
             Err(StreamItemTooLong) => Err(HttpError::BodyTooLong.into()),
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Whether the body of the response is complete.
+    /// Returns whether the body of the response has been received completely.
     pub fn is_complete(&self) -> bool {
         match &self.body {
             Some(Body::Chunked(decoder)) => decoder.is_done(),
--- a/crates/protocol/src/watch_supervisor.rs
+++ b/crates/protocol/src/watch_supervisor.rs
@@ -1,102 +1,109 @@
-//! Supervision of the watches on discovery: which one is active, which are pending, and when to begin another.
+//! Decides when a front node opens and closes its watches on the discovery service.
 //!
-//! The supervisor is fed with requests, events and the clock, and returns [`WatchAction`]s. Two rules shape it:
+//! A watch is pending from the time it is opened until one of its events makes it the active watch. At most
+//! one watch is active, and only the active watch delivers updates. The supervisor performs no I/O: the
+//! caller passes in requests, events and the time, and executes the returned [`WatchAction`]s.
 //!
-//! * The active watch stays until a replacement has delivered the list. A new request, or a new address in the
-//!   configuration, never leaves the front node without a watch.
-//! * A pending call is never replaced by a later one; otherwise requests that come faster than answers would keep any
-//!   call from being answered. If a call is not answered within three quarters of the answer timeout, a second one is
-//!   hedged beside it, and the first to be answered becomes active. That delay exceeds the time a call queues at an
-//!   overloaded discovery: each hedged call there is served as well, and a fleet that hedges early would halve its useful
-//!   throughput.
+//! * The active watch stays open until a replacement has delivered the endpoint list. Neither a new request
+//!   nor a new address in the configuration leaves the front node without a watch.
+//! * A pending watch is not closed in favor of a newer one at the same address. If it were, requests that
+//!   arrive faster than discovery answers would prevent every watch from being answered.
+//! * If a pending watch is not answered within three quarters of the answer timeout, a second watch is opened
+//!   as a hedge, and the first one to be answered becomes active. This delay is longer than a request waits
+//!   in the queue of an overloaded discovery service. Discovery serves both watches, so front nodes that
+//!   hedged earlier would halve its useful throughput.
 
 use crate::endpoint_list::ListUpdate;
 use crate::watch::WatchEvent;
 use std::time::Duration;
 
-/// Most calls pending at once: one and its hedge.
+/// Maximum number of pending watches: one and its hedge.
 const MAX_PENDING: usize = 2;
-/// The backoff before another call to a new address grows up to this multiple of the retry delay.
+/// Maximum backoff before another attempt to open a watch at a new address, as a multiple of the retry delay.
 const MAX_BACKOFF_FACTOR: u32 = 4;
 
-/// Timeouts of watches, from the configuration in force.
+/// Timeouts of watches, from the current configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchTimeouts {
-    /// Time for discovery to begin its answer; after three quarters of it a second call is made.
+    /// Time within which discovery has to begin its answer. A hedge is opened after three quarters of this
+    /// time.
     pub answer_timeout: Duration,
-    /// Delay before a lost watch is begun anew, where nobody requests one before.
+    /// Delay before a lost watch is opened again, unless a watch is requested earlier.
     pub retry_delay: Duration,
 }
 
-/// What the caller has to do.
+/// An action that the caller has to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchAction<A> {
-    /// Begin a watch.
+    /// Open a watch.
     Open {
-        /// The number by which its events are reported back.
+        /// Id with which the caller reports the events of this watch.
         watch_id: u64,
-        /// The address of discovery.
+        /// Address of the discovery service.
         address: A,
-        /// Request the changes after this version; 0 for the complete list.
+        /// Version after which changes are requested; 0 requests the complete list.
         after: u64,
     },
-    /// End the watch of this number: another has replaced it.
+    /// Close the watch with this id, because another watch replaces it.
     Close(u64),
-    /// Hand this update to the core.
+    /// Pass this update to the component that maintains the endpoint list.
     Deliver(ListUpdate),
-    /// Report that no watch is active or pending any more.
+    /// Report that no watch is active or pending.
     ReportLost,
 }
 
-/// A watch that was begun.
-struct WatchCall<A> {
+/// A watch that has been opened.
+struct OpenedWatch<A> {
     watch_id: u64,
     address: A,
 }
 
-/// The watches of one front node; `A` is the type of the addresses of discovery.
+/// State of all watches of one front node. `A` is the type of a discovery address.
 pub struct WatchSupervisor<A> {
-    /// Whether a lost watch is begun anew without a request.
+    /// Whether a lost watch is opened again without a request.
     restarts_lost_watch: bool,
-    /// The address of discovery in the configuration.
+    /// Address of the discovery service in the configuration.
     configured_address: A,
-    /// The address that delivered the known version. Versions of different addresses are not comparable.
+    /// Address that delivered the known version. Versions from different addresses are not comparable.
     source_address: A,
-    /// The version known from `source_address`.
+    /// Known version of the endpoint list, from `source_address`.
     version: u64,
-    /// The watch that delivers updates.
-    active: Option<WatchCall<A>>,
-    /// Calls without a first event.
-    pending: Vec<WatchCall<A>>,
-    /// The active watch has delivered its first event.
-    active_has_delivered: bool,
-    /// The number of the latest call.
+    /// The active watch.
+    active: Option<OpenedWatch<A>>,
+    /// Watches that are open and have not become active.
+    pending: Vec<OpenedWatch<A>>,
+    /// Whether the first event of the active watch has been processed.
+    active_has_had_event: bool,
+    /// Id of the watch opened last.
     last_watch_id: u64,
-    /// When the next call is due.
-    next_call_at: Option<Duration>,
-    /// Calls to a new address that failed in a row, up to the limit of the backoff.
-    failed_calls: u32,
+    /// Time at which the next watch is to be opened.
+    next_open_at: Option<Duration>,
+    /// Number of consecutive failures to open a watch at a new address, capped at [`MAX_BACKOFF_FACTOR`].
+    failed_opens: u32,
 }
 
 impl<A: Copy + PartialEq> WatchSupervisor<A> {
-    /// A supervisor without watches. The known list has this version at the discovery at `address`; `pushed` says
-    /// whether a lost watch is begun anew without a request.
-    pub fn new(pushed: bool, address: A, version: u64) -> WatchSupervisor<A> {
+    /// Creates a supervisor without watches.
+    ///
+    /// `version` is the version of the endpoint list known from the discovery service at `address`. If
+    /// `restarts_lost_watch` is true, the supervisor opens the first watch, and each lost one again, without
+    /// a request.
+    pub fn new(restarts_lost_watch: bool, address: A, version: u64) -> WatchSupervisor<A> {
         WatchSupervisor {
-            restarts_lost_watch: pushed,
+            restarts_lost_watch,
             configured_address: address,
             source_address: address,
             version,
             active: None,
             pending: Vec::new(),
-            active_has_delivered: false,
+            active_has_had_event: false,
             last_watch_id: 0,
-            next_call_at: pushed.then_some(Duration::ZERO),
-            failed_calls: 0,
+            next_open_at: restarts_lost_watch.then_some(Duration::ZERO),
+            failed_opens: 0,
         }
     }
 
-    /// Begins a watch, unless enough calls are pending.
+    /// Opens a watch, unless the maximum number of watches is pending.
     pub fn request_watch(&mut self, now: Duration, timeouts: WatchTimeouts) -> Vec<WatchAction<A>> {
         if self.pending.len() >= MAX_PENDING {
             return Vec::new();
@@ -104,14 +111,15 @@
         self.last_watch_id += 1;
         let watch_id = self.last_watch_id;
         let address = self.configured_address;
-        self.pending.push(WatchCall { watch_id, address });
+        self.pending.push(OpenedWatch { watch_id, address });
         let may_hedge = self.pending.len() < MAX_PENDING;
-        self.next_call_at = may_hedge.then(|| now + timeouts.answer_timeout * 3 / 4);
+        self.next_open_at = may_hedge.then(|| now + timeouts.answer_timeout * 3 / 4);
         let after = if address == self.source_address { self.version } else { 0 };
         vec![WatchAction::Open { watch_id, address, after }]
     }
 
-    /// The configuration has a new address: pending calls are closed and a watch on the new address is begun.
+    /// Applies a new discovery address from the configuration: closes the pending watches and opens a watch
+    /// at the new address. The active watch stays open until that one replaces it.
     pub fn change_address(
         &mut self,
         now: Duration,
@@ -119,34 +127,35 @@
         timeouts: WatchTimeouts,
     ) -> Vec<WatchAction<A>> {
         self.configured_address = address;
-        self.failed_calls = 0;
+        self.failed_opens = 0;
         let mut actions: Vec<WatchAction<A>> =
-            self.pending.drain(..).map(|call| WatchAction::Close(call.watch_id)).collect();
+            self.pending.drain(..).map(|watch| WatchAction::Close(watch.watch_id)).collect();
         actions.extend(self.request_watch(now, timeouts));
         actions
     }
 
-    /// When to call [`on_deadline`](WatchSupervisor::on_deadline), if at all.
+    /// Returns the time at which the caller has to call [`on_deadline`](WatchSupervisor::on_deadline), if
+    /// any.
     pub fn next_deadline(&self) -> Option<Duration> {
-        self.next_call_at
+        self.next_open_at
     }
 
-    /// Begins the call that is due.
+    /// Opens the watch that is due, if any: a hedge, a retry, or the replacement of a lost watch.
     pub fn on_deadline(&mut self, now: Duration, timeouts: WatchTimeouts) -> Vec<WatchAction<A>> {
-        if self.next_call_at.is_none_or(|due| due > now) {
+        if self.next_open_at.is_none_or(|due| due > now) {
             return Vec::new();
         }
-        self.next_call_at = None;
+        self.next_open_at = None;
         self.request_watch(now, timeouts)
     }
 
     /// Handles an event of a watch.
     pub fn on_event(&mut self, watch_id: u64, event: WatchEvent) -> Vec<WatchAction<A>> {
         let mut actions = self.activate(watch_id, &event);
-        let Some(active) = self.active.as_ref().filter(|call| call.watch_id == watch_id) else {
+        let Some(active) = self.active.as_ref().filter(|watch| watch.watch_id == watch_id) else {
             return actions;
         };
-        let is_first_event = !std::mem::replace(&mut self.active_has_delivered, true);
+        let is_first_event = !std::mem::replace(&mut self.active_has_had_event, true);
         match event {
             WatchEvent::Update(update) => {
                 self.source_address = active.address;
@@ -154,7 +163,7 @@
                 actions.push(WatchAction::Deliver(update));
             }
             WatchEvent::KeepAlive if is_first_event => {
-                // The first event answers the call, even if nothing has changed.
+                // The first event answers the request for a watch, even if the list has not changed.
                 let unchanged = ListUpdate { version: self.version, complete: false, entries: Vec::new() };
                 actions.push(WatchAction::Deliver(unchanged));
             }
@@ -163,25 +172,27 @@
         actions
     }
 
-    /// Makes a pending call the active watch and closes all others, if this event lets it. At another address than
-    /// that of the known list only an update does: a keep-alive there says nothing about that list.
+    /// Makes the pending watch `watch_id` the active one and closes all others, if `event` allows it.
+    ///
+    /// At the address of the known list, any event does. At another address only an update does: a keep-alive
+    /// means that the list of that address has not changed, which gives no information about the known list.
     fn activate(&mut self, watch_id: u64, event: &WatchEvent) -> Vec<WatchAction<A>> {
-        let can_activate = |call: &WatchCall<A>| {
-            call.watch_id == watch_id
-                && (call.address == self.source_address || *event != WatchEvent::KeepAlive)
+        let can_activate = |watch: &OpenedWatch<A>| {
+            watch.watch_id == watch_id
+                && (watch.address == self.source_address || *event != WatchEvent::KeepAlive)
         };
         let Some(position) = self.pending.iter().position(can_activate) else { return Vec::new() };
         let activated = self.pending.remove(position);
         let replaced = self.active.replace(activated);
         let closed = self.pending.drain(..).chain(replaced);
-        let actions = closed.map(|call| WatchAction::Close(call.watch_id)).collect();
-        self.active_has_delivered = false;
-        self.next_call_at = None;
-        self.failed_calls = 0;
+        let actions = closed.map(|watch| WatchAction::Close(watch.watch_id)).collect();
+        self.active_has_had_event = false;
+        self.next_open_at = None;
+        self.failed_opens = 0;
         actions
     }
 
-    /// Handles the end of a watch that was not closed by an action.
+    /// Handles the end of a watch. Ignores watches that were closed by a [`WatchAction::Close`].
     pub fn on_watch_ended(
         &mut self,
         now: Duration,
@@ -189,29 +200,30 @@
         timeouts: WatchTimeouts,
     ) -> Vec<WatchAction<A>> {
         let had_pending = !self.pending.is_empty();
-        self.pending.retain(|call| call.watch_id != watch_id);
-        let was_active = self.active.take_if(|call| call.watch_id == watch_id).is_some();
+        self.pending.retain(|watch| watch.watch_id != watch_id);
+        let was_active = self.active.take_if(|watch| watch.watch_id == watch_id).is_some();
         if !self.pending.is_empty() {
-            // The end of the other pending call will be handled in its turn.
+            // Another watch is pending. If it ends as well, that call of this function handles the loss.
             return Vec::new();
         }
         if !was_active && !had_pending {
-            // A watch that was replaced before.
+            // This watch was replaced and closed before.
             return Vec::new();
         }
-        if self.active.as_ref().is_some_and(|call| call.address != self.configured_address) {
-            // The watch on the old address is still active, so the core requests none on the new one.
+        if self.active.as_ref().is_some_and(|watch| watch.address != self.configured_address) {
+            // The watch at the old address is still active, so the caller does not request one at the new
+            // address.
             self.schedule_retry(now, timeouts);
             return Vec::new();
         }
-        self.next_call_at = self.restarts_lost_watch.then(|| now + timeouts.retry_delay);
+        self.next_open_at = self.restarts_lost_watch.then(|| now + timeouts.retry_delay);
         vec![WatchAction::ReportLost]
     }
 
-    /// Schedules the next call to the new address, with exponential backoff.
+    /// Schedules the next attempt to open a watch at the new address, with exponential backoff.
     fn schedule_retry(&mut self, now: Duration, timeouts: WatchTimeouts) {
-        let factor = (1 << self.failed_calls).min(MAX_BACKOFF_FACTOR);
-        self.next_call_at = Some(now + timeouts.retry_delay * factor);
-        self.failed_calls = (self.failed_calls + 1).min(MAX_BACKOFF_FACTOR);
+        let factor = (1 << self.failed_opens).min(MAX_BACKOFF_FACTOR);
+        self.next_open_at = Some(now + timeouts.retry_delay * factor);
+        self.failed_opens = (self.failed_opens + 1).min(MAX_BACKOFF_FACTOR);
     }
 }
--- a/crates/system-calls/src/lib.rs
+++ b/crates/system-calls/src/lib.rs
@@ -1,8 +1,13 @@
-//! System calls that fail for a moment: what their errors mean, and the calls that are retried.
+//! Classifies the errors of system calls and retries calls that fail temporarily.
+//!
+//! An error of a socket call belongs to one of three kinds:
+//!
+//! * The call was interrupted by a signal and had no effect. It is retried immediately.
+//! * This machine temporarily lacks a resource (ports, file descriptors, buffers, a route). The error gives
+//!   no information about the peer. Calls that set up a socket are retried with backoff up to a deadline;
+//!   reads and writes are retried after [`BUFFER_RETRY_DELAY`].
+//! * The connection has failed. The error is returned to the caller.
 //!
-//! An error of a socket call says one of three things: the call was interrupted and did nothing; this machine lacks a
-//! resource for the moment (ports, descriptors, buffers, a route), which says nothing of the peer; or the connection is
-//! over. The first is retried here at once, the second with backoff up to a deadline.
 //! `docs/design/machine-faults.md` lists the calls.
 
 #![warn(missing_docs)]
--- a/crates/system-calls/src/retry.rs
+++ b/crates/system-calls/src/retry.rs
@@ -1,4 +1,4 @@
-//! Calls that are retried.
+//! Functions that retry a system call.
 
 use crate::errors::is_transient_local_error;
 use std::future::Future;
@@ -6,15 +6,15 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Backoff before the first retry after a transient local error; it doubles with each retry.
+/// Backoff before the first retry after a transient local error. It doubles with each retry.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
-/// The longest backoff.
+/// Maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Retries a call at once as long as a signal interrupts it (EINTR).
+/// Retries a call immediately while it is interrupted by a signal (`EINTR`).
 ///
 /// # Errors
-/// As the call, but for `Interrupted`.
+/// The errors of `call`, except [`Interrupted`](io::ErrorKind::Interrupted).
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -24,10 +24,13 @@
     }
 }
 
-/// Retries a call with backoff as long as it fails with a transient local error, up to a deadline.
+/// Retries a call with exponential backoff while it fails with a transient local error, until `deadline`.
+///
+/// A transient local error is one for which [`is_transient_local_error`] returns true.
 ///
 /// # Errors
-/// As the call; a transient local error only once the next retry would be past the deadline.
+/// The errors of `call`. A transient local error is returned only if the next retry would start after the
+/// deadline.
 pub async fn retry_transient_errors<T, F: Future<Output = io::Result<T>>>(
     deadline: Instant,
     mut call: impl FnMut() -> F,
--- a/crates/system-calls/src/sockets.rs
+++ b/crates/system-calls/src/sockets.rs
@@ -1,4 +1,4 @@
-//! TCP sockets whose calls are retried.
+//! TCP socket operations that are retried after temporary errors of this machine.
 
 use crate::errors::is_out_of_buffers;
 use crate::retry::{retry_interrupted, retry_transient_errors};
@@ -9,32 +9,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, Instant};
 
-/// Delay before a read or write that found no buffers is retried.
+/// Delay before a read or write is retried that failed for lack of buffers.
 pub const BUFFER_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// How long a program that starts retries to listen, and to get the other resources it needs.
+/// How long a starting program retries to listen and to acquire the other resources that it needs.
 pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Connects; retries until `deadline` while this machine has no port, descriptor, buffer or route for it.
+/// Opens a connection to `address`. Retries until `deadline` while this machine lacks a port, a file
+/// descriptor, a buffer or a route.
 ///
 /// # Errors
-/// As `connect(2)`; a transient local error only close to the deadline.
+/// The errors of `connect(2)`. A lack of local resources is returned as an error only when the deadline is
+/// too close for another retry.
 pub async fn connect(address: SocketAddr, deadline: Instant) -> io::Result<TcpStream> {
     retry_transient_errors(deadline, || TcpStream::connect(address)).await
 }
 
-/// Listens; retries for [`STARTUP_TIMEOUT`] while this machine has no port, descriptor or buffer for it.
+/// Binds a listener to `address`. Retries for [`STARTUP_TIMEOUT`] while this machine lacks a port, a file
+/// descriptor or a buffer.
 ///
 /// # Errors
-/// As `bind(2)` and `listen(2)`; a transient local error only close to the end of the time.
+/// The errors of `bind(2)` and `listen(2)`. A lack of local resources is returned as an error only when too
+/// little time is left for another retry.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     retry_transient_errors(Instant::now() + STARTUP_TIMEOUT, || TcpListener::bind(address)).await
 }
 
-/// Reads the next bytes into `buffer` and returns how many; 0 at the end of the stream.
+/// Reads bytes into `buffer` and returns how many were read, or 0 at the end of the stream. Retries if the
+/// call is interrupted or this machine lacks buffers.
 ///
 /// # Errors
-/// As `recv(2)`, but for interruptions and a lack of buffers.
+/// The errors of `recv(2)`, except those that are retried.
 pub async fn read(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -46,10 +51,10 @@
     }
 }
 
-/// Writes all of the bytes.
+/// Writes all of `bytes`. Retries if the call is interrupted or this machine lacks buffers.
 ///
 /// # Errors
-/// As `send(2)`, but for interruptions and a lack of buffers.
+/// The errors of `send(2)`, except those that are retried.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.ready(Interest::WRITABLE).await?;
