--- a/crates/protocol/tests/connection.rs
+++ b/crates/protocol/tests/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an index server: answers in any split of their bytes, partial writes, cancellation, late answers.
+//! Tests of one connection to an index server: decoding of answers in any split of their bytes, partial
+//! writes, cancellation, and late answers.
 
 mod common;
 
@@ -24,28 +25,29 @@
     }
 }
 
-fn in_flight(attempts: &[(AttemptId, bool)]) -> Vec<LostAttempt> {
+/// Builds lost attempts from pairs of an attempt id and whether its call was completely written.
+fn lost_attempts(attempts: &[(AttemptId, bool)]) -> Vec<LostAttempt> {
     attempts
         .iter()
         .map(|(attempt_id, written)| LostAttempt { attempt_id: *attempt_id, written: *written })
         .collect()
 }
 
-fn frame(letter: u8, rest: &str) -> Vec<u8> {
-    let mut bytes = (rest.len() as u32 + 1).to_be_bytes().to_vec();
-    bytes.push(letter);
-    bytes.extend_from_slice(rest.as_bytes());
+fn frame(frame_type: u8, payload: &str) -> Vec<u8> {
+    let mut bytes = (payload.len() as u32 + 1).to_be_bytes().to_vec();
+    bytes.push(frame_type);
+    bytes.extend_from_slice(payload.as_bytes());
     bytes
 }
 
-/// The bytes that are queued for writing.
+/// Returns the bytes that are queued for writing.
 fn pending_bytes(connection: &ConnectionState) -> Vec<u8> {
     let mut slices = Vec::new();
     connection.pending_slices(u64::MAX, &mut slices, 64);
     slices.iter().flat_map(|slice| slice.iter().copied()).collect()
 }
 
-/// Writes up to so many of the queued bytes, as a socket would.
+/// Removes up to `max_bytes` queued bytes, as a write to a socket would, and returns them.
 fn write(connection: &mut ConnectionState, max_bytes: usize) -> Vec<u8> {
     let mut bytes = pending_bytes(connection);
     bytes.truncate(max_bytes);
@@ -53,6 +55,7 @@
     bytes
 }
 
+/// Opens a connection and writes one call for each part id. The attempt ids count up from 1.
 fn open_connection(ids: &[&str]) -> ConnectionState {
     let mut connection = ConnectionState::default();
     for (attempt_id, id) in (1..).zip(ids) {
@@ -83,14 +86,14 @@
     bytes.extend(frame(b'5', "q.5 B - -\n"));
     let read = |pieces: &[Vec<u8>]| {
         let mut connection = open_connection(&["q.3", "q.4", "q.5"]);
-        let mut all = Vec::new();
+        let mut answers = Vec::new();
         for piece in pieces {
             connection.feed(piece);
             while let Some(answer) = connection.next_answer(|_| {}).expect("valid frames") {
-                all.push(answer);
+                answers.push(answer);
             }
         }
-        (all, connection.in_flight(), connection.is_mid_frame())
+        (answers, connection.in_flight(), connection.is_mid_frame())
     };
     let answer = |attempt_id, outcome, score, value: &str| AttemptAnswer {
         attempt_id,
@@ -106,14 +109,14 @@
     for pieces in byte_splits(&bytes) {
         assert_eq!(read(&pieces), (expected.clone(), 0, false), "for {pieces:?}");
     }
-    let cut = &bytes[..bytes.len() - 3];
-    for pieces in byte_splits(cut) {
+    let truncated = &bytes[..bytes.len() - 3];
+    for pieces in byte_splits(truncated) {
         assert_eq!(read(&pieces), (expected[..2].to_vec(), 1, true));
     }
 }
 
 #[test]
-fn scores_compare_exactly_over_the_range_of_64_bits() {
+fn large_integer_scores_compare_exactly() {
     let mut connection = open_connection(&["a", "b", "c", "d"]);
     for (id, score) in
         [("a", "18446744073709551615"), ("b", "18446744073709551614"), ("c", "-2.5"), ("d", "-2.25")]
@@ -129,10 +132,10 @@
 
 #[test]
 fn malformed_frames_give_typed_errors() {
-    let long = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
+    let excessive_length = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
     let cases: [(Vec<u8>, FrameError); 9] = [
         (vec![0, 0, 0, 0], FrameError::InvalidLength),
-        (long.to_vec(), FrameError::InvalidLength),
+        (excessive_length.to_vec(), FrameError::InvalidLength),
         (frame(b'9', "x"), FrameError::UnknownType),
         (frame(b'5', "no end of line"), FrameError::MalformedAnswerLine),
         (frame(b'5', "q.3 S 1\nvalue"), FrameError::MalformedAnswerLine),
@@ -147,7 +150,7 @@
         assert_eq!(connection.next_answer(|_| {}), Err(expected), "for {bytes:?}");
         assert_eq!(
             connection.close().lost_attempts,
-            in_flight(&[(1, true)]),
+            lost_attempts(&[(1, true)]),
             "the attempt is still in flight"
         );
     }
@@ -159,13 +162,17 @@
 }
 
 #[test]
-fn frame_is_written_with_its_last_byte() {
+fn attempt_counts_as_written_after_the_last_byte_of_its_frame() {
     let frame_len = frame(b'1', "q.3 3 d=240 8\nc41e77d0").len();
     for (max_bytes, written) in [(0, false), (frame_len - 1, false), (frame_len, true)] {
         let mut connection = ConnectionState::default();
         connection.queue_call(0, vec![outgoing_part(1, "q.3")]);
         write(&mut connection, max_bytes);
-        assert_eq!(connection.close().lost_attempts, in_flight(&[(1, written)]), "after {max_bytes} bytes");
+        assert_eq!(
+            connection.close().lost_attempts,
+            lost_attempts(&[(1, written)]),
+            "after {max_bytes} bytes"
+        );
     }
 }
 
@@ -176,13 +183,13 @@
     connection.queue_call(0, vec![outgoing_part(2, "q.4")]);
     connection.cancel(2, true);
     assert_eq!(write(&mut connection, usize::MAX), frame(b'1', "q.3 3 d=240 8\nc41e77d0"));
-    // A call whose write has started is sent completely, and the cancel frame after it.
+    // A call whose write has started is sent completely, followed by the cancel frame.
     connection.queue_call(0, vec![outgoing_part(3, "q.5")]);
     write(&mut connection, 3);
     connection.cancel(3, true);
     let rest = write(&mut connection, usize::MAX);
     assert!(rest.ends_with(&frame(b'2', "q.5")));
-    assert_eq!(connection.close().lost_attempts, in_flight(&[(1, true)]));
+    assert_eq!(connection.close().lost_attempts, lost_attempts(&[(1, true)]));
 }
 
 #[test]
@@ -194,7 +201,7 @@
     assert_eq!(
         connection.queue_call(0, vec![outgoing_part(2, "q.3")]),
         vec![2],
-        "an answer to the first attempt would be taken for one to the second"
+        "an answer to the first attempt would be matched with the second one"
     );
     connection.feed(&frame(b'5', "q.3 S 1 -\nlate"));
     assert_eq!(connection.next_answer(|_| {}), Ok(None));
@@ -208,7 +215,7 @@
 }
 
 #[test]
-fn cancellation_without_notification_sends_no_frame() {
+fn cancellation_without_notification_sends_no_cancel_frame() {
     let mut connection = open_connection(&["q.3"]);
     connection.cancel(1, false);
     assert_eq!(
@@ -220,7 +227,7 @@
 }
 
 #[test]
-fn memory_of_cancelled_parts_is_bounded() {
+fn number_of_remembered_cancelled_parts_is_bounded() {
     let mut connection = ConnectionState::default();
     for attempt_id in 0..5000 {
         connection.queue_call(0, vec![outgoing_part(attempt_id, &format!("q{attempt_id}.1"))]);
@@ -232,14 +239,14 @@
     while connection.unwritten_bytes() > 0 {
         write(&mut connection, usize::MAX);
     }
-    // Evicted ids: their answers count as late and are no error.
+    // The first id has been evicted. Its answer counts as late and is not an error.
     connection.feed(&frame(b'5', "q0.1 S 1 -\nlate"));
     assert_eq!(connection.next_answer(|_| {}), Ok(None));
     assert_eq!((connection.late_answers, connection.in_flight()), (1, 0));
 }
 
-/// Reads answers in every split of their bytes; asserts that the result does not depend on it.
-fn read_in_every_split(bytes: &[u8]) -> (Vec<String>, Result<(), FrameError>) {
+/// Reads the answers in many splits of `bytes` and asserts that the result does not depend on the split.
+fn read_in_many_splits(bytes: &[u8]) -> (Vec<String>, Result<(), FrameError>) {
     let read = |pieces: &[Vec<u8>]| {
         let mut connection = open_connection(&["q.3", "q.4", "q.5"]);
         let mut values = Vec::new();
@@ -255,24 +262,29 @@
         }
         (values, Ok(()))
     };
-    let all: Vec<_> = byte_splits(bytes).iter().map(|pieces| read(pieces)).collect();
-    assert!(all.iter().all(|one| *one == all[0]), "the result depends on the split: {all:?}");
-    all[0].clone()
+    let results: Vec<_> = byte_splits(bytes).iter().map(|pieces| read(pieces)).collect();
+    assert!(
+        results.iter().all(|result| *result == results[0]),
+        "the result depends on the split: {results:?}"
+    );
+    results[0].clone()
 }
 
-fn frame_with_length(length: u32, rest: &[u8]) -> Vec<u8> {
-    [&length.to_be_bytes()[..], rest].concat()
+/// Builds a frame with the given length field, which may be wrong. `content` is the type byte and the
+/// payload.
+fn frame_with_length(length: u32, content: &[u8]) -> Vec<u8> {
+    [&length.to_be_bytes()[..], content].concat()
 }
 
 #[test]
 fn corrupt_answers_give_typed_errors_and_no_value() {
     let valid = frame(b'5', "q.3 S 1 -\nvalue");
     let next = frame(b'5', "q.4 S 1 -\nother");
-    // A length that includes the next frame, one of gigabytes, one of zero.
-    let swallowing =
+    // The first three cases have a wrong length field: one that includes the next frame, 3 GB, and 0.
+    let includes_next_frame =
         frame_with_length(valid.len() as u32 - 4 + next.len() as u32, &[&valid[4..], &next].concat());
     let cases = [
-        (swallowing, FrameError::InvalidAnswerValue),
+        (includes_next_frame, FrameError::InvalidAnswerValue),
         (frame_with_length(3_000_000_000, b"5q.3 S 1 -\nvalue"), FrameError::InvalidLength),
         (frame_with_length(0, b""), FrameError::InvalidLength),
         (
@@ -290,7 +302,7 @@
     ];
     for (bytes, expected) in cases {
         assert_eq!(
-            read_in_every_split(&bytes),
+            read_in_many_splits(&bytes),
             (Vec::new(), Err(expected)),
             "for {:?}",
             String::from_utf8_lossy(&bytes)
@@ -299,21 +311,24 @@
 }
 
 #[test]
-fn valid_answers_survive_duplicates_and_trailing_noise() {
+fn valid_answers_are_returned_despite_duplicates_and_trailing_invalid_bytes() {
     let valid = frame(b'5', "q.3 S 1 -\nvalue");
-    let second = [valid.clone(), valid.clone(), frame(b'5', "q.4 S 1 -\nother")].concat();
+    let with_duplicate = [valid.clone(), valid.clone(), frame(b'5', "q.4 S 1 -\nother")].concat();
     assert_eq!(
-        read_in_every_split(&second),
+        read_in_many_splits(&with_duplicate),
         (vec!["value".into(), "other".into()], Ok(())),
         "a duplicate answer is ignored"
     );
-    let noise = [&valid[..], b"\xff\xfe\xfd\xfc noise"].concat();
-    assert_eq!(read_in_every_split(&noise), (vec!["value".into()], Err(FrameError::InvalidLength)));
-    let report = [&frame_with_length(20, b"5q.3 S 1 \xff\xfe =,\nvalue")[..]].concat();
+    let with_invalid_bytes = [&valid[..], b"\xff\xfe\xfd\xfc noise"].concat();
+    assert_eq!(
+        read_in_many_splits(&with_invalid_bytes),
+        (vec!["value".into()], Err(FrameError::InvalidLength))
+    );
+    let with_invalid_report = [&frame_with_length(20, b"5q.3 S 1 \xff\xfe =,\nvalue")[..]].concat();
     assert_eq!(
-        read_in_every_split(&report),
+        read_in_many_splits(&with_invalid_report),
         (vec!["value".into()], Ok(())),
-        "a load report that is not text"
+        "a load report that is not UTF-8 is ignored"
     );
 }
 
@@ -322,7 +337,7 @@
     let mut connection = open_connection(&["q.3"]);
     connection.feed(&frame(b'5', "q.3 E 0 -\n"));
     assert!(connection.next_answer(|_| {}).expect("a valid frame").is_some());
-    assert!(!connection.is_id_available("q.3"), "the part may be sent on another connection");
+    assert!(!connection.is_id_available("q.3"), "the part may only be sent on another connection");
     connection.feed(&frame(b'5', "q.3 E 0 -\n"));
     assert_eq!((connection.next_answer(|_| {}), connection.late_answers), (Ok(None), 1));
 }
@@ -335,7 +350,7 @@
     assert_eq!(connection.next_answer(|_| {}), Err(FrameError::UnknownPart));
     assert_eq!(
         connection.close().lost_attempts,
-        in_flight(&[(1, false)]),
+        lost_attempts(&[(1, false)]),
         "the attempt is still in flight and was not written"
     );
 }
@@ -344,7 +359,7 @@
 fn queued_call_is_sent_without_its_cancelled_parts() {
     let mut connection = ConnectionState::default();
     connection.queue_call(0, vec![outgoing_part(1, "a.3")]);
-    write(&mut connection, 5); // its write has started
+    write(&mut connection, 5); // Starts the write of the first call.
     connection.queue_call(0, vec![outgoing_part(2, "q.3"), outgoing_part(3, "q.4")]);
     connection.cancel(2, true);
     let rest =
@@ -352,15 +367,19 @@
     assert_eq!(connection.unwritten_bytes(), rest.len());
     connection.queue_call(0, vec![outgoing_part(4, "q.5")]);
     connection.cancel(4, true);
-    assert_eq!(write(&mut connection, usize::MAX), rest, "neither the cancelled part nor a cancel frame");
+    assert_eq!(
+        write(&mut connection, usize::MAX),
+        rest,
+        "neither the cancelled parts nor a cancel frame is sent"
+    );
     assert_eq!((connection.in_flight(), connection.unwritten_bytes()), (2, 0));
 }
 
 #[test]
-fn unstarted_calls_are_returned_if_the_connection_had_answered() {
-    for served in [false, true] {
+fn unstarted_calls_are_returned_if_an_answer_was_received_on_the_connection() {
+    for has_answered in [false, true] {
         let mut connection = open_connection(&["q.1"]);
-        if served {
+        if has_answered {
             connection.feed(&frame(b'5', "q.1 S 1 -\nvalue"));
             assert!(connection.next_answer(|_| {}).expect("a valid frame").is_some());
         }
@@ -369,30 +388,30 @@
         connection.queue_call(0, vec![outgoing_part(8, "q.8"), outgoing_part(9, "q.9")]);
         let closed = connection.close();
         let mut expected = vec![(7, false)];
-        if served {
+        if has_answered {
             assert_eq!(closed.unsent_calls, vec![vec![outgoing_part(8, "q.8"), outgoing_part(9, "q.9")]]);
         } else {
             assert!(
                 closed.unsent_calls.is_empty(),
-                "a connection that never answered may be to a failed server"
+                "an index server that never answered on the connection may have failed"
             );
             expected.extend([(8, false), (9, false)]);
             expected.insert(0, (1, true));
         }
-        assert_eq!(closed.lost_attempts, in_flight(&expected));
+        assert_eq!(closed.lost_attempts, lost_attempts(&expected));
     }
 }
 
 #[test]
-fn parts_are_withdrawn_from_unstarted_calls_and_the_rest_is_sent() {
+fn parts_are_withdrawn_from_unstarted_calls_and_the_other_parts_are_sent() {
     let mut connection = open_connection(&[]);
-    let all = |ids: &[(u64, &str)]| {
+    let parts = |ids: &[(u64, &str)]| {
         ids.iter().map(|(attempt_id, id)| outgoing_part(*attempt_id, id)).collect::<Vec<_>>()
     };
-    assert!(connection.queue_call(0, all(&[(1, "a.1"), (2, "b.1")])).is_empty());
-    assert!(connection.queue_call(0, all(&[(3, "c.1")])).is_empty());
-    assert!(connection.queue_call(0, all(&[(4, "d.1"), (5, "e.1")])).is_empty());
-    // One byte of the first call is written: it is not withdrawn.
+    assert!(connection.queue_call(0, parts(&[(1, "a.1"), (2, "b.1")])).is_empty());
+    assert!(connection.queue_call(0, parts(&[(3, "c.1")])).is_empty());
+    assert!(connection.queue_call(0, parts(&[(4, "d.1"), (5, "e.1")])).is_empty());
+    // After one byte of the first call has been written, none of its parts can be withdrawn.
     write(&mut connection, 1);
     assert_eq!(connection.withdraw_unstarted(|part| part.attempt_id != 4), [3, 5]);
     assert_eq!(connection.in_flight(), 3);
@@ -403,39 +422,45 @@
     assert_eq!(
         (connection.unwritten_bytes(), connection.withdraw_unstarted(|_| true).len()),
         (0, 0),
-        "written calls stay"
+        "parts of written calls can't be withdrawn"
     );
-    // Withdrawn parts may be sent here again.
+    // Withdrawn parts may be sent on this connection again.
     assert!(
         connection.is_id_available("c.1")
             && connection.is_id_available("e.1")
             && !connection.is_id_available("a.1")
     );
-    assert_eq!(connection.close().lost_attempts, in_flight(&[(1, true), (2, true), (4, true)]));
+    assert_eq!(connection.close().lost_attempts, lost_attempts(&[(1, true), (2, true), (4, true)]));
 }
 
 #[test]
-fn partial_write_past_its_start_deadline_is_detected() {
+fn partially_written_call_past_its_latest_start_is_detected() {
     let mut connection = open_connection(&[]);
     connection.queue_call(
         0,
         vec![OutgoingPart { start_before_us: Some(500), ..outgoing_part(1, "a.1") }, outgoing_part(2, "b.1")],
     );
-    assert!(!connection.has_expired_partial_write(900), "nothing of it is written: it can be withdrawn");
+    assert!(
+        !connection.has_expired_partial_write(900),
+        "a call can be withdrawn before its first byte is written"
+    );
     write(&mut connection, 7);
     assert!(!connection.has_expired_partial_write(499));
     assert!(connection.has_expired_partial_write(500));
     connection.cancel(1, true);
-    assert!(connection.has_expired_partial_write(500), "the index server would still run a cancelled part");
+    assert!(
+        connection.has_expired_partial_write(500),
+        "the index server would run the cancelled part if it received the complete frame"
+    );
     let mut connection = open_connection(&[]);
     connection.queue_call(0, vec![OutgoingPart { start_before_us: Some(500), ..outgoing_part(1, "a.1") }]);
     write(&mut connection, usize::MAX);
-    assert!(!connection.has_expired_partial_write(900), "it was written in time");
+    assert!(!connection.has_expired_partial_write(900), "the call was completely written in time");
 }
 
 #[test]
-fn call_states_the_time_left_when_it_is_written() {
-    let stated_times_left = |bytes: &[u8]| -> Vec<u64> {
+fn call_contains_the_time_left_at_the_time_of_the_write() {
+    let times_left = |bytes: &[u8]| -> Vec<u64> {
         let text = String::from_utf8_lossy(bytes).into_owned();
         text.split("d=").skip(1).map(|rest| rest.split([' ', ',']).next().unwrap().parse().unwrap()).collect()
     };
@@ -445,21 +470,21 @@
         vec![outgoing_part(1, "a.1"), OutgoingPart { deadline_us: 500_000, ..outgoing_part(2, "b.1") }],
     );
     connection.queue_call(0, vec![OutgoingPart { attributes: ",k=7".into(), ..outgoing_part(3, "c.1") }]);
-    // Queued while the connection is being established.
+    // The calls were queued before the connection was established at 150 ms.
     connection.refresh_times_left(150_000);
     assert_eq!(connection.unwritten_bytes(), pending_bytes(&connection).len());
     let written = write(&mut connection, usize::MAX);
-    assert_eq!(stated_times_left(&written), [90, 350, 90]);
+    assert_eq!(times_left(&written), [90, 350, 90]);
     assert!(String::from_utf8_lossy(&written).contains("c.1 3 d=90,k=7 8\n"));
     assert_eq!(connection.unwritten_bytes(), 0);
-    // A started frame is not changed: its length and its first bytes are written.
+    // A partially written frame is not changed, because its length and first bytes have been written.
     connection.queue_call(150_000, vec![outgoing_part(4, "d.1")]);
     connection.queue_call(150_000, vec![outgoing_part(5, "e.1")]);
     let mut written = write(&mut connection, 7);
     connection.refresh_times_left(200_000);
     written.extend(write(&mut connection, usize::MAX));
-    assert_eq!(stated_times_left(&written), [90, 40]);
-    // A call that moves to another connection states the time left there.
+    assert_eq!(times_left(&written), [90, 40]);
+    // A call that is moved to another connection contains the time left at the time of the move.
     let mut connection = open_connection(&["x.1"]);
     connection.feed(&frame(b'5', "x.1 S 0 -\nv"));
     assert!(connection.next_answer(|_| {}).expect("a valid frame").is_some());
@@ -467,5 +492,5 @@
     let unsent = connection.close().unsent_calls;
     let mut other = open_connection(&[]);
     other.queue_call(230_500, unsent.into_iter().flatten().collect());
-    assert_eq!(stated_times_left(&write(&mut other, usize::MAX)), [10], "whole milliseconds, rounded up");
+    assert_eq!(times_left(&write(&mut other, usize::MAX)), [10], "whole milliseconds, rounded up");
 }
--- a/crates/protocol/tests/names.rs
+++ b/crates/protocol/tests/names.rs
@@ -1,4 +1,5 @@
-//! Names of another deployment: read from the operators' form, used in both directions; faults state their key.
+//! Tests of the names file: names that differ from the defaults are used when encoding and decoding, and
+//! errors contain the key of the invalid entry.
 
 use pinetrestle_protocol::connection::{ConnectionState, OutgoingPart};
 use pinetrestle_protocol::endpoint_list::{encode_watch_request, Status};
@@ -9,7 +10,8 @@
 use serde_json::{json, Value};
 use std::rc::Rc;
 
-fn names_of_another_deployment() -> Value {
+/// Returns a names file that overrides most of the defaults.
+fn custom_names_file() -> Value {
     json!({
         "family": "fanout", "proto": "http", "deadline_form": "ms", "class_in": "both", "discovery": "stream",
         "h": {"id": "Trip-Id", "class": "Trip-Kind", "load": "unused"},
@@ -25,9 +27,9 @@
 }
 
 #[test]
-fn names_not_stated_keep_their_defaults() {
+fn names_missing_from_the_file_keep_their_defaults() {
     assert_eq!(WireNames::read(&json!({})), Ok(WireNames::default()));
-    let names = WireNames::read(&names_of_another_deployment()).expect("valid names");
+    let names = WireNames::read(&custom_names_file()).expect("valid names");
     assert_eq!(
         (names.header_names.id.as_str(), names.header_names.tenant.as_str()),
         ("Trip-Id", "X-Customer")
@@ -36,7 +38,7 @@
 }
 
 #[test]
-fn faults_state_the_key() {
+fn errors_contain_the_key_of_the_invalid_entry() {
     for (group, key, value, expected_key) in [
         ("h", "id", json!("two words"), "h.id"),
         ("h", "id", json!(7), "h.id"),
@@ -45,7 +47,7 @@
         ("fan", "little", json!("no"), "fan.little"),
         ("fan", "ends", json!(["S", "E"]), "fan.ends"),
     ] {
-        let mut file = names_of_another_deployment();
+        let mut file = custom_names_file();
         file[group][key] = value;
         assert_eq!(WireNames::read(&file).expect_err("a fault").key, expected_key);
     }
@@ -56,7 +58,7 @@
         ("class_in", json!("path")),
         ("discovery", json!("poll")),
     ] {
-        let mut file = names_of_another_deployment();
+        let mut file = custom_names_file();
         file[key] = value;
         assert_eq!(WireNames::read(&file).expect_err("a fault").key, key);
     }
@@ -64,8 +66,8 @@
 }
 
 #[test]
-fn queries_answers_lists_and_frames_use_the_stated_names() {
-    let names = Rc::new(WireNames::read(&names_of_another_deployment()).expect("valid names"));
+fn queries_answers_lists_and_frames_use_the_names_of_the_file() {
+    let names = Rc::new(WireNames::read(&custom_names_file()).expect("valid names"));
     let body = br#"{"legs":[{"leg":3,"part":0.5,"us":9},{"leg":4,"part":0.5}],"ask":"c4"}"#;
     let query = parse_query_body(body, &names.body_keys, 9).expect("a query");
     assert_eq!((query.parts.len(), query.text.as_str()), (2, "c4"));
--- a/crates/protocol/tests/query.rs
+++ b/crates/protocol/tests/query.rs
@@ -1,4 +1,4 @@
-//! BodyKeys of queries and answers.
+//! Tests of the header values of queries, and of the bodies of queries and answers.
 
 use pinetrestle_protocol::names::BodyKeys;
 use pinetrestle_protocol::query::{
@@ -44,28 +44,33 @@
 }
 
 #[test]
-fn query_id_is_one_word_without_a_dot() {
+fn query_id_is_visible_ascii_without_a_dot() {
     assert_eq!(parse_query_id(Some("9b1f03aa5c7e2d41")), Ok("9b1f03aa5c7e2d41"));
-    let long = "a".repeat(65);
-    for bad in [None, Some(""), Some("a b"), Some("a\nb"), Some("\u{e9}"), Some("q.3"), Some(long.as_str())] {
-        assert_eq!(parse_query_id(bad), Err(QueryError::Id), "for {bad:?}");
+    let too_long = "a".repeat(65);
+    for invalid in
+        [None, Some(""), Some("a b"), Some("a\nb"), Some("\u{e9}"), Some("q.3"), Some(too_long.as_str())]
+    {
+        assert_eq!(parse_query_id(invalid), Err(QueryError::Id), "for {invalid:?}");
     }
 }
 
 #[test]
-fn idempotency_key_is_one_word_without_a_comma_and_may_be_required() {
+fn idempotency_key_is_visible_ascii_without_a_comma_and_may_be_required() {
     assert_eq!(
         (parse_idempotency_key(None, false), parse_idempotency_key(None, true)),
         (Ok(None), Err(QueryError::IdempotencyKey))
     );
-    for needed in [true, false] {
-        assert_eq!(parse_idempotency_key(Some("a2b9acad9eb94871=="), needed), Ok(Some("a2b9acad9eb94871==")));
-        let long = "a".repeat(129);
-        for bad in ["", "a b", "a,b", "a\nb", "\u{e9}", &long] {
+    for is_required in [true, false] {
+        assert_eq!(
+            parse_idempotency_key(Some("a2b9acad9eb94871=="), is_required),
+            Ok(Some("a2b9acad9eb94871=="))
+        );
+        let too_long = "a".repeat(129);
+        for invalid in ["", "a b", "a,b", "a\nb", "\u{e9}", &too_long] {
             assert_eq!(
-                parse_idempotency_key(Some(bad), needed),
+                parse_idempotency_key(Some(invalid), is_required),
                 Err(QueryError::IdempotencyKey),
-                "for {bad:?}"
+                "for {invalid:?}"
             );
         }
     }
@@ -75,22 +80,22 @@
 fn expiry_is_a_number_of_milliseconds_up_to_an_hour() {
     assert_eq!(parse_expiry(Some("480")), Ok(480_000));
     assert_eq!(parse_expiry(Some("0")), Ok(0));
-    for bad in
+    for invalid in
         [None, Some(""), Some("-1"), Some("1.5"), Some("soon"), Some("3600001"), Some("99999999999999999999")]
     {
-        assert_eq!(parse_expiry(bad), Err(QueryError::Expiry), "for {bad:?}");
+        assert_eq!(parse_expiry(invalid), Err(QueryError::Expiry), "for {invalid:?}");
     }
 }
 
 #[test]
-fn answer_values_survive_json_encoding() {
+fn decoding_an_encoded_answer_gives_the_same_values() {
     let values = [(3, "5be2a07c19f04d63"), (4, "a\"b\\c\n\t\u{1}é\u{1f600}"), (5, "")];
     let body = encode_answer_body(&BodyKeys::default(), false, values.into_iter());
-    let read: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
-    assert_eq!(read["entire"], false);
-    for (place, (shard, value)) in values.into_iter().enumerate() {
-        assert_eq!(read["items"][place]["slice"], shard);
-        assert_eq!(read["items"][place]["body"], value);
+    let decoded: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
+    assert_eq!(decoded["entire"], false);
+    for (index, (shard, value)) in values.into_iter().enumerate() {
+        assert_eq!(decoded["items"][index]["slice"], shard);
+        assert_eq!(decoded["items"][index]["body"], value);
     }
     let empty: serde_json::Value =
         serde_json::from_slice(&encode_answer_body(&BodyKeys::default(), true, [].into_iter()))
--- a/crates/protocol/tests/requests.rs
+++ b/crates/protocol/tests/requests.rs
@@ -1,4 +1,5 @@
-//! HTTP requests: any split of the bytes gives the same requests or the same error.
+//! Tests of the HTTP request parser: any split of the bytes into reads gives the same requests or the same
+//! error.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use pinetrestle_protocol::requests::{response_head, AmbiguousField, RequestParser, RequestProgress};
 use pinetrestle_protocol::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// The contents of a request, apart from the buffer it borrows.
+/// An owned copy of the contents of a request.
 #[derive(Debug, PartialEq)]
 struct ParsedRequest {
     method: String,
@@ -44,8 +45,8 @@
     (parsed, last)
 }
 
-/// Parses every split of the bytes; asserts that the result does not depend on it.
-fn read_in_every_split(bytes: &[u8]) -> (Vec<ParsedRequest>, Result<RequestProgress, HttpError>) {
+/// Parses many splits of `bytes` and asserts that the result does not depend on the split.
+fn read_in_many_splits(bytes: &[u8]) -> (Vec<ParsedRequest>, Result<RequestProgress, HttpError>) {
     let mut splits = byte_splits(bytes).into_iter();
     let first = read(&splits.next().expect("the unsplit bytes"));
     for split in splits {
@@ -54,10 +55,11 @@
     first
 }
 
+/// Parses `bytes`, asserts that they contain no valid request, and returns the error.
 fn error(bytes: &[u8]) -> HttpError {
-    let (parsed, end) = read_in_every_split(bytes);
+    let (parsed, end) = read_in_many_splits(bytes);
     assert_eq!(parsed, Vec::new());
-    end.expect_err("bad input gives an error")
+    end.expect_err("invalid input gives an error")
 }
 
 #[test]
@@ -65,7 +67,7 @@
     let bytes = b"POST /checkout HTTP/1.1\r\nHost: app.svc\r\nx-eXPIRES-in-ms:  480 \r\nContent-Length: 5\r\n\r\n\
         {\"a\"}\r\nPOST /b?x=1 HTTP/1.1\r\nTransfer-Encoding: CHUNKED\r\n\r\n3;note=1\r\nabc\r\n0a\r\n0123456789\r\n\
         0\r\nTrailer: yes\r\n\r\nGET /stats HTTP/1.1\r\nConnection: x, Close\r\n\r\nGET / HTTP/1.0\r\n\r\n";
-    let (parsed, end) = read_in_every_split(bytes);
+    let (parsed, end) = read_in_many_splits(bytes);
     assert_eq!(end, Ok(RequestProgress::Idle));
     assert_eq!(parsed.len(), 4);
     assert_eq!(parsed[0].method, "POST");
@@ -73,13 +75,13 @@
     assert_eq!(
         parsed[0].expires.as_deref(),
         Some("480"),
-        "names in any case, white space around values trimmed"
+        "field names are case-insensitive, and white space around values is removed"
     );
     assert_eq!(parsed[0].body, b"{\"a\"}");
     assert!(parsed[0].keeps_alive);
     assert_eq!((parsed[1].path.as_str(), &parsed[1].body[..]), ("/b", &b"abc0123456789"[..]));
-    assert!(!parsed[2].keeps_alive, "the client says close");
-    assert!(!parsed[3].keeps_alive, "HTTP/1.0 closes by default");
+    assert!(!parsed[2].keeps_alive, "the client sent Connection: close");
+    assert!(!parsed[3].keeps_alive, "HTTP/1.0 connections do not persist by default");
 }
 
 #[test]
@@ -87,7 +89,7 @@
     for bytes in
         [&b"POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabc"[..], b"GET / HTTP/1.1\r\nA: b\r\n", b"G"]
     {
-        let (parsed, end) = read_in_every_split(bytes);
+        let (parsed, end) = read_in_many_splits(bytes);
         assert_eq!((parsed, end), (Vec::new(), Ok(RequestProgress::Partial)));
     }
 }
@@ -112,7 +114,7 @@
         ),
         (b"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", HttpError::BadTransferCoding),
         (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", HttpError::BadChunkedCoding),
-        // Request smuggling: framing that another recipient may read differently.
+        // Request smuggling: framing that another recipient may interpret differently.
         (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", HttpError::BadContentLength),
         (
             b"POST / HTTP/1.1\r\ntransfer-encoding: Chunked\r\ncontent-length: 0\r\n\r\n",
@@ -138,18 +140,18 @@
 
 #[test]
 fn head_and_body_lengths_are_bounded() {
-    let long = format!("GET /{} HTTP/1.1\r\n\r\n", "a".repeat(MAX_HEAD_BYTES));
-    assert_eq!(read(&[long.into_bytes()]).1, Err(HttpError::HeadTooLong));
-    let endless = vec![b'a'; MAX_HEAD_BYTES + 1];
-    assert_eq!(read(&[endless]).1, Err(HttpError::HeadTooLong));
-    let fields = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(101));
-    assert_eq!(read(&[fields.into_bytes()]).1, Err(HttpError::HeadTooLong));
+    let long_target = format!("GET /{} HTTP/1.1\r\n\r\n", "a".repeat(MAX_HEAD_BYTES));
+    assert_eq!(read(&[long_target.into_bytes()]).1, Err(HttpError::HeadTooLong));
+    let unterminated = vec![b'a'; MAX_HEAD_BYTES + 1];
+    assert_eq!(read(&[unterminated]).1, Err(HttpError::HeadTooLong));
+    let too_many_fields = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(101));
+    assert_eq!(read(&[too_many_fields.into_bytes()]).1, Err(HttpError::HeadTooLong));
     for length in [(MAX_BODY_BYTES + 1).to_string(), "9".repeat(40)] {
         let head = format!("POST / HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
         assert_eq!(
             read(&[head.into_bytes()]).1,
             Err(HttpError::BodyTooLong),
-            "before its bytes are received"
+            "the error is returned before the body is received"
         );
     }
     let chunk = format!("1000\r\n{}\r\n", "x".repeat(0x1000));
@@ -190,11 +192,11 @@
         assert_eq!(read(&single), unsplit, "for {bytes:?}");
         errors += usize::from(unsplit.1.is_err());
     }
-    assert!(errors > 50, "the mutations do hit the framing: {errors}");
+    assert!(errors > 50, "too few mutations made a request invalid: {errors}");
 }
 
 #[test]
-fn response_heads_state_length_retry_after_and_connection() {
+fn response_head_contains_length_retry_after_and_connection() {
     let head = String::from_utf8(response_head(503, 12, Some(437_000), false)).expect("text");
     assert!(head.starts_with("HTTP/1.1 503 "));
     assert!(head.contains("Content-Length: 12\r\n") && head.contains("Retry-After: 0.437\r\n"));
@@ -209,11 +211,11 @@
         let mut requests = RequestParser::default();
         let mut bytes = format!("POST /q HTTP/1.1\r\n{head}\r\n\r\n").into_bytes();
         if let Some(at) = bytes.iter().position(|byte| *byte == 0xc3) {
-            bytes.remove(at); // half of a UTF-8 sequence
+            bytes.remove(at); // Leaves the second byte of a two-byte UTF-8 sequence.
         }
         requests.feed(&bytes);
         assert_eq!(requests.parse(), Ok(RequestProgress::Complete));
-        let request = requests.request().expect("it is there");
+        let request = requests.request().expect("a complete request");
         assert_eq!(request.field("X-Expires-In-Ms"), Err(AmbiguousField));
         assert_eq!(request.field("X-Other"), Ok(None));
     }
--- a/crates/protocol/tests/watch.rs
+++ b/crates/protocol/tests/watch.rs
@@ -1,4 +1,5 @@
-//! The watch on discovery in any split of its bytes, and responses that are not a watch.
+//! Tests of the watch decoder: any split of the bytes gives the same events, and responses that are not a
+//! valid watch give typed errors.
 
 mod common;
 
@@ -17,23 +18,25 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
+/// Decodes a response. Returns its events, and either whether the body is complete or the error.
 fn read(pieces: &[Vec<u8>]) -> (Vec<WatchEvent>, Result<bool, WatchError>) {
     let mut watch = WatchDecoder::default();
-    let mut all = Vec::new();
+    let mut events = Vec::new();
     for piece in pieces {
         watch.feed(piece);
         loop {
             match watch.next_event() {
-                Ok(Some(event)) => all.push(event),
+                Ok(Some(event)) => events.push(event),
                 Ok(None) => break,
-                Err(error) => return (all, Err(error)),
+                Err(error) => return (events, Err(error)),
             }
         }
     }
-    (all, Ok(watch.is_complete()))
+    (events, Ok(watch.is_complete()))
 }
 
-fn read_in_every_split(text: &str) -> (Vec<WatchEvent>, Result<bool, WatchError>) {
+/// Decodes many splits of `text` and asserts that the result does not depend on the split.
+fn read_in_many_splits(text: &str) -> (Vec<WatchEvent>, Result<bool, WatchError>) {
     let mut splits = byte_splits(text.as_bytes()).into_iter();
     let first = read(&splits.next().expect("the unsplit bytes"));
     for split in splits {
@@ -57,11 +60,11 @@
         start_time_ms: 1_700_000_000_123,
     };
     let first = format!("{{\"index\":41,\"snapshot\":true,\"endpoints\":[\n{ENTRY}]}}\n").replace("[\n", "[");
-    let (a, b) = first.split_at(30);
+    let (first_chunk, second_chunk) = first.split_at(30);
     let text = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}{}{}{}0\r\n\r\n",
-        chunk(a),
-        chunk(b),
+        chunk(first_chunk),
+        chunk(second_chunk),
         chunk("\r\n"),
         chunk("{\"index\":42,\"snapshot\":false,\"endpoints\":[]}\n\n"),
     );
@@ -71,18 +74,18 @@
         update(42, false, Vec::new()),
         WatchEvent::KeepAlive,
     ];
-    assert_eq!(read_in_every_split(&text), (expected, Ok(true)));
+    assert_eq!(read_in_many_splits(&text), (expected, Ok(true)));
 }
 
 #[test]
 fn body_of_known_length_may_lack_the_last_line_feed() {
     let body = "{\"index\":7,\"snapshot\":true,\"endpoints\":[]}";
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    assert_eq!(read_in_every_split(&text), (vec![update(7, true, Vec::new())], Ok(true)));
+    assert_eq!(read_in_many_splits(&text), (vec![update(7, true, Vec::new())], Ok(true)));
 }
 
 #[test]
-fn indented_list_is_parsed_and_its_line_feeds_are_no_keep_alives() {
+fn line_feeds_inside_an_indented_list_are_not_keep_alives() {
     let ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let value: serde_json::Value = serde_json::from_str(&format!(
         "{{\"index\":3,\"snapshot\":true,\"endpoints\":[{}]}}",
@@ -91,11 +94,10 @@
     .expect("JSON");
     let pretty = serde_json::to_string_pretty(&value).expect("JSON");
     assert!(pretty.lines().count() > 10);
-    for blank in ["\n", "\r\n"] {
-        let text = pretty.replace('\n', &format!("\n{blank}"));
-        let body =
-            format!("{text}{blank}{blank}{{\"index\":4,\"snapshot\":false,\n\"endpoints\":[]\n}}{blank}");
-        let (events, end) = read_in_every_split(&format!("{ok}{}", chunk(&body)));
+    for eol in ["\n", "\r\n"] {
+        let text = pretty.replace('\n', &format!("\n{eol}"));
+        let body = format!("{text}{eol}{eol}{{\"index\":4,\"snapshot\":false,\n\"endpoints\":[]\n}}{eol}");
+        let (events, end) = read_in_many_splits(&format!("{ok}{}", chunk(&body)));
         assert_eq!(end, Ok(false));
         assert_eq!(events.len(), 3, "{events:?}");
         let WatchEvent::Update(first) = &events[0] else { panic!("{events:?}") };
@@ -105,8 +107,8 @@
 }
 
 #[test]
-fn indented_list_of_the_largest_fleet_fits_and_longer_ones_are_rejected() {
-    /// Index servers of the largest fleet.
+fn indented_list_of_the_largest_fleet_is_accepted_and_an_unterminated_one_rejected() {
+    /// Number of index servers in the largest fleet.
     const MAX_SERVERS: usize = 3_200;
     let entry: serde_json::Value = serde_json::from_str(ENTRY).expect("JSON");
     let entries: Vec<serde_json::Value> = (0..MAX_SERVERS)
@@ -119,32 +121,35 @@
     let list = serde_json::json!({"index": 7, "snapshot": true, "endpoints": entries});
     let text = serde_json::to_string_pretty(&list).expect("JSON");
     let ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    // As discovery writes it: in chunks, and read in pieces of 16 kB.
+    // The list arrives as chunks of the chunked coding, and is read 16 KiB at a time.
     let response = format!("{ok}{}{}", chunk(&text), chunk("\n"));
     let pieces: Vec<Vec<u8>> = response.as_bytes().chunks(16 * 1024).map(<[u8]>::to_vec).collect();
     let (events, end) = read(&pieces);
     assert_eq!(end, Ok(false), "{} bytes", text.len());
     let [WatchEvent::Update(update)] = &events[..] else { panic!("{} events", events.len()) };
     assert_eq!(update.entries.len(), MAX_SERVERS);
-    // A list without an end is rejected at the limit.
-    let endless =
+    // A list without an end is rejected when it reaches the size limit.
+    let unterminated =
         vec![chunk(&format!("{{\"index\":7,\"endpoints\":[{}", " ".repeat(64 * 1024))).into_bytes(); 100];
-    let pieces: Vec<Vec<u8>> = std::iter::once(ok.as_bytes().to_vec()).chain(endless).collect();
+    let pieces: Vec<Vec<u8>> = std::iter::once(ok.as_bytes().to_vec()).chain(unterminated).collect();
     assert_eq!(read(&pieces).1, Err(WatchError::Http(HttpError::BodyTooLong)));
 }
 
 #[test]
-fn list_is_delivered_with_its_last_brace_and_never_in_part() {
+fn list_is_delivered_when_its_closing_brace_is_received_and_not_before() {
     let ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let list = "{\"index\":7,\"snapshot\":true,\"endpoints\":[]}";
-    let (half, _) = list.split_at(list.len() - 1);
+    let (without_closing_brace, _) = list.split_at(list.len() - 1);
     assert_eq!(
-        read_in_every_split(&format!("{ok}{}", chunk(list))),
+        read_in_many_splits(&format!("{ok}{}", chunk(list))),
         (vec![update(7, true, Vec::new())], Ok(false))
     );
-    assert_eq!(read_in_every_split(&format!("{ok}{}", chunk(half))), (Vec::new(), Ok(false)));
-    // Text after it on its line is not a list and fails the watch.
-    let (events, end) = read_in_every_split(&format!("{ok}{}", chunk(&format!("{list} and more\n"))));
+    assert_eq!(
+        read_in_many_splits(&format!("{ok}{}", chunk(without_closing_brace))),
+        (Vec::new(), Ok(false))
+    );
+    // Text after the list on the same line is not a valid list, so the watch fails.
+    let (events, end) = read_in_many_splits(&format!("{ok}{}", chunk(&format!("{list} and more\n"))));
     assert_eq!((events.len(), end), (1, Err(WatchError::EndpointList(EndpointListError::NotJson))));
 }
 
@@ -159,7 +164,7 @@
         (format!("{ok}{}", chunk("no list\n")), WatchError::EndpointList(EndpointListError::NotJson)),
     ];
     for (text, expected) in cases {
-        assert_eq!(read_in_every_split(&text), (Vec::new(), Err(expected)), "for {text}");
+        assert_eq!(read_in_many_splits(&text), (Vec::new(), Err(expected)), "for {text}");
     }
     let mut watch = WatchDecoder::default();
     watch.feed(b"HTTP/1.1 200 OK\r\n\r\n");
@@ -170,7 +175,7 @@
 }
 
 #[test]
-fn missing_or_invalid_list_fields_are_named() {
+fn errors_contain_the_key_of_the_missing_or_invalid_field() {
     let line = |entry: &str| format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{entry}]}}");
     assert!(parse_list_update(line(ENTRY).as_bytes(), &WireNames::default()).is_ok());
     for (from, to, key) in [
@@ -184,7 +189,7 @@
         assert_eq!(
             parse_list_update(line(&ENTRY.replace(from, to)).as_bytes(), &WireNames::default()),
             Err(EndpointListError::InvalidField(InvalidField { key: key.into() })),
-            "without {from}"
+            "with {from} replaced by {to:?}"
         );
     }
     for (text, key) in [
@@ -197,12 +202,12 @@
             Err(EndpointListError::InvalidField(InvalidField { key: key.into() }))
         );
     }
-    let gone = parse_list_update(
+    let removed = parse_list_update(
         line("{\"name\":\"s-1\",\"status\":\"removed\"}").as_bytes(),
         &WireNames::default(),
     )
-    .expect("a removed endpoint needs no more");
-    assert_eq!(gone.entries[0].status, Status::Removed);
+    .expect("a removed endpoint needs only a name and a status");
+    assert_eq!(removed.entries[0].status, Status::Removed);
 }
 
 #[test]
@@ -219,7 +224,7 @@
 }
 
 #[test]
-fn watch_request_states_the_known_version() {
+fn watch_request_contains_the_known_version() {
     let request =
         String::from_utf8(encode_watch_request(&WireNames::default(), "127.0.0.1:8500", 41)).expect("text");
     assert!(
--- a/crates/system-calls/tests/errors.rs
+++ b/crates/system-calls/tests/errors.rs
@@ -1,4 +1,4 @@
-//! How errors of system calls are classified.
+//! Tests of the classification of errors, and of the retry of interrupted calls.
 
 use pinetrestle_system_calls::{
     is_accept_resource_error, is_out_of_buffers, is_transient_disk_error, is_transient_local_error,
@@ -11,7 +11,8 @@
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
-/// A library's error that adds a path and has the system's error as its source.
+/// An error as returned by a library that adds the path of the file. Its source is the operating system's
+/// error.
 #[derive(Debug)]
 struct WithPath(io::Error);
 
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_lack_of_local_resources_is_told_from_errors_of_the_peer() {
+fn transient_local_errors_are_distinguished_from_errors_of_the_peer() {
     for errno in [Errno::ADDRNOTAVAIL, Errno::MFILE, Errno::NOBUFS, Errno::NETUNREACH, Errno::INTR] {
         assert!(is_transient_local_error(&error(errno)), "{errno}");
     }
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn buffers_and_accept_have_lists_of_their_own() {
+fn out_of_buffers_and_accept_resource_errors_are_recognized() {
     assert!(is_out_of_buffers(&error(Errno::NOBUFS)) && is_out_of_buffers(&error(Errno::NOMEM)));
     assert!(!is_out_of_buffers(&error(Errno::MFILE)));
     assert!(is_accept_resource_error(&error(Errno::MFILE)));
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_disk_error_is_classified_also_where_a_library_wrapped_it() {
+fn transient_disk_errors_are_recognized_with_and_without_a_wrapper() {
     for errno in [Errno::NOSPC, Errno::DQUOT, Errno::FBIG, Errno::IO] {
         let wrapped = io::Error::other(WithPath(error(errno)));
         assert!(is_transient_disk_error(&error(errno)) && is_transient_disk_error(&wrapped), "{errno}");
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn an_interrupted_call_is_retried_until_it_returns() {
+fn an_interrupted_call_is_retried_until_it_completes() {
     let mut calls = 0;
     let result = retry_interrupted(|| {
         calls += 1;
