--- a/crates/protocol/src/query.rs
+++ b/crates/protocol/src/query.rs
@@ -98,8 +98,8 @@
 /// # Errors
 /// [`QueryError::Id`] if the id is missing or invalid.
 pub fn parse_query_id(value: Option<&str>) -> Result<&str, QueryError> {
-    let is_word = |id: &str| id.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'.');
-    let is_valid = |id: &&str| !id.is_empty() && id.len() <= MAX_ID_BYTES && is_word(id);
+    let has_valid_bytes = |id: &str| id.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'.');
+    let is_valid = |id: &&str| !id.is_empty() && id.len() <= MAX_ID_BYTES && has_valid_bytes(id);
     value.filter(is_valid).ok_or(QueryError::Id)
 }
 
@@ -113,8 +113,8 @@
     let Some(key) = value else {
         return if is_required { Err(QueryError::IdempotencyKey) } else { Ok(None) };
     };
-    let is_word = key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',');
-    if key.is_empty() || key.len() > MAX_KEY_BYTES || !is_word {
+    let has_valid_bytes = key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',');
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !has_valid_bytes {
         return Err(QueryError::IdempotencyKey);
     }
     Ok(Some(key))
--- a/crates/protocol/src/watch.rs
+++ b/crates/protocol/src/watch.rs
@@ -57,7 +57,7 @@
     /// Splits the body into endpoint lists and blank lines.
     lists: JsonStreamSplitter,
     /// The error found in the received bytes, if any. Events that were complete before it are returned first.
-    failed: Option<WatchError>,
+    error: Option<WatchError>,
 }
 
 impl WatchDecoder {
@@ -68,8 +68,8 @@
 
     /// Processes received bytes. An error in them is returned by [`next_event`](WatchDecoder::next_event).
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.failed.is_none() {
-            self.failed = self.process(bytes).err();
+        if self.error.is_none() {
+            self.error = self.process(bytes).err();
         }
     }
 
@@ -133,7 +133,7 @@
             Ok(Some(StreamItem::Text(text))) => {
                 Ok(Some(WatchEvent::Update(parse_list_update(&text, &self.names)?)))
             }
-            Ok(None) => match &self.failed {
+            Ok(None) => match &self.error {
                 Some(error) => Err(error.clone()),
                 None => Ok(None),
             },
