--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Operator files: JSON5 read into validated types.
+//! Reads operator files, the JSON5 files that operators write, into validated types.
 //!
-//! A file is accepted completely or not at all. Why one is rejected is a [`FileError`]: it names the file, the line,
-//! the key by its full path, what is wrong and what to write instead.
+//! A file is either accepted as a whole or rejected with a [`FileError`]. As far as they are known, the error
+//! message gives the file, the line, the full path of the key, the problem and how to fix it.
 
 #![warn(missing_docs)]
 
@@ -16,34 +16,35 @@
 use serde::de::{DeserializeOwned, IgnoredAny};
 use std::path::Path;
 
-/// A type read from an operator file that can validate itself beyond what its form says.
+/// A type that can be read from an operator file and has constraints that deserialization does not check.
 pub trait Validate: DeserializeOwned {
-    /// Checks ranges and contradictions.
+    /// Checks that values are in range and do not contradict each other.
     ///
     /// # Errors
-    /// The first key whose value is wrong.
+    /// A [`ValidationError`] for the first invalid value that is found.
     fn validate(&self) -> Result<(), ValidationError>;
 }
 
 /// Reads and validates an operator file.
 ///
 /// # Errors
-/// When the file can't be read, is longer than [`MAX_FILE_BYTES`], is not UTF-8, or [`parse`] rejects it.
+/// A [`FileError`] if the file cannot be read, is larger than [`MAX_FILE_BYTES`], is not valid UTF-8, or is
+/// rejected by [`parse`].
 pub fn read<T: Validate>(path: &Path) -> Result<T, FileError> {
     let unreadable = |source: std::io::Error| FileError::Unreadable { file: path.to_owned(), source };
     let bytes = std::fs::metadata(path).map_err(unreadable)?.len();
     if bytes > MAX_FILE_BYTES {
-        return Err(FileError::TooLong { file: path.to_owned(), bytes });
+        return Err(FileError::TooLarge { file: path.to_owned(), bytes });
     }
     let content = std::fs::read(path).map_err(unreadable)?;
     let text = String::from_utf8(content).map_err(|_| FileError::NotUtf8 { file: path.to_owned() })?;
     parse(path, &text)
 }
 
-/// Parses and validates an operator file's text; `path` is only named in errors.
+/// Parses and validates the text of an operator file. `path` is only used in error messages.
 ///
 /// # Errors
-/// When the text is not JSON5, does not have the form of `T`, or fails its validation.
+/// A [`FileError`] if the text is not valid JSON5, cannot be deserialized into `T`, or fails its validation.
 pub fn parse<T: Validate>(path: &Path, text: &str) -> Result<T, FileError> {
     let last_line = text.lines().count().max(1);
     let mut deserializer = json5::Deserializer::from_str(text);
@@ -51,7 +52,8 @@
         let key = key_of(error.path());
         FileError::malformed(path, key, error.inner(), last_line)
     })?;
-    // Only white space and comments may follow, which the deserializer above does not check.
+    // The deserializer above stops after the first value. `from_str` checks that only whitespace and comments
+    // follow.
     json5::from_str::<IgnoredAny>(text)
         .map_err(|error| FileError::malformed(path, String::new(), &error, last_line))?;
     value.validate().map_err(|error| FileError::Invalid {
@@ -62,7 +64,8 @@
     Ok(value)
 }
 
-/// The key of a deserializer's path; empty for the whole file, which the path writes as a dot.
+/// Returns the key path of a deserialization error. It is empty for the file as a whole, which
+/// `serde_path_to_error` writes as `.`.
 fn key_of(path: &serde_path_to_error::Path) -> String {
     let key = path.to_string();
     if key == "." {
--- a/crates/operator/src/locate_key.rs
+++ b/crates/operator/src/locate_key.rs
@@ -1,21 +1,21 @@
-//! Finds the line on which the value of a key is.
+//! Finds the line of the value of a key.
 //!
-//! The text is read once more with a deserializer that follows the key's path and fails on purpose at its end: the
-//! JSON5 reader adds the position to that error.
+//! The text is deserialized again with a seed that follows the path of the key and deliberately fails at the
+//! value. The JSON5 deserializer adds the position to this error.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
-/// One segment of a key's path.
+/// A segment of a key path.
 #[derive(Clone, Debug, PartialEq)]
 enum PathSegment {
     /// A key of an object.
     Key(String),
-    /// An index of a list, from 0.
+    /// An index of an array, starting at 0.
     Index(usize),
 }
 
-/// The segments of a path such as `pools[2].name`.
+/// Splits a key path such as `pools[2].name` into its segments.
 fn parse_path(path: &str) -> Vec<PathSegment> {
     let mut segments = Vec::new();
     for piece in path.split('.').filter(|piece| !piece.is_empty()) {
@@ -32,12 +32,12 @@
     segments
 }
 
-/// The message of the error at the path's end; the position that the reader adds to it is what counts.
-const FOUND: &str = "found";
+/// The message of the deliberate error. Only the position that the deserializer adds to the error is used.
+const LOCATED: &str = "value located";
 
-/// Deserializes to the value at the end of a path and fails there.
+/// A deserialization seed that fails at the value to which a path leads.
 struct FailAtPath<'a> {
-    /// The segments still to follow.
+    /// The remaining segments of the path.
     segments: &'a [PathSegment],
 }
 
@@ -57,7 +57,9 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
-        let Some((segment, rest)) = self.segments.split_first() else { return Err(A::Error::custom(FOUND)) };
+        let Some((segment, rest)) = self.segments.split_first() else {
+            return Err(A::Error::custom(LOCATED));
+        };
         while let Some(key) = map.next_key::<String>()? {
             if *segment == PathSegment::Key(key) {
                 return map.next_value_seed(FailAtPath { segments: rest });
@@ -67,14 +69,16 @@
         Ok(())
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
-        let Some((segment, rest)) = self.segments.split_first() else { return Err(A::Error::custom(FOUND)) };
+    fn visit_seq<A: SeqAccess<'de>>(self, mut array: A) -> Result<(), A::Error> {
+        let Some((segment, rest)) = self.segments.split_first() else {
+            return Err(A::Error::custom(LOCATED));
+        };
         let mut index = 0;
         loop {
             if *segment == PathSegment::Index(index) {
-                return list.next_element_seed(FailAtPath { segments: rest }).map(|_| ());
+                return array.next_element_seed(FailAtPath { segments: rest }).map(|_| ());
             }
-            if list.next_element::<IgnoredAny>()?.is_none() {
+            if array.next_element::<IgnoredAny>()?.is_none() {
                 return Ok(());
             }
             index += 1;
@@ -82,37 +86,39 @@
     }
 
     fn visit_bool<E: Error>(self, _: bool) -> Result<(), E> {
-        Err(E::custom(FOUND))
+        Err(E::custom(LOCATED))
     }
 
     fn visit_i64<E: Error>(self, _: i64) -> Result<(), E> {
-        Err(E::custom(FOUND))
+        Err(E::custom(LOCATED))
     }
 
     fn visit_u64<E: Error>(self, _: u64) -> Result<(), E> {
-        Err(E::custom(FOUND))
+        Err(E::custom(LOCATED))
     }
 
     fn visit_f64<E: Error>(self, _: f64) -> Result<(), E> {
-        Err(E::custom(FOUND))
+        Err(E::custom(LOCATED))
     }
 
     fn visit_str<E: Error>(self, _: &str) -> Result<(), E> {
-        Err(E::custom(FOUND))
+        Err(E::custom(LOCATED))
     }
 
     fn visit_unit<E: Error>(self) -> Result<(), E> {
-        Err(E::custom(FOUND))
+        Err(E::custom(LOCATED))
     }
 }
 
-/// The line, from 1, of the value of a key; where the key is not there, of its innermost parent that is.
+/// Returns the line number, starting at 1, of the value at `path`. If there is no such value, returns the
+/// line of its innermost parent that exists.
 pub(crate) fn line_of(text: &str, path: &str) -> Option<usize> {
     let segments = parse_path(path);
     (0..=segments.len()).rev().find_map(|depth| line_of_segments(text, &segments[..depth]))
 }
 
-/// The line, from 1, of the value at exactly this path, if there is one.
+/// Returns the line number, starting at 1, of the value at exactly this path, or `None` if there is no such
+/// value.
 fn line_of_segments(text: &str, segments: &[PathSegment]) -> Option<usize> {
     let mut deserializer = json5::Deserializer::from_str(text);
     let error = FailAtPath { segments }.deserialize(&mut deserializer).err()?;
--- a/crates/operator/src/validation_error.rs
+++ b/crates/operator/src/validation_error.rs
@@ -1,19 +1,19 @@
-//! What is wrong with the value of one key.
+//! The error type for an invalid value.
 
-/// What is wrong with the value of one key, and what to write instead.
+/// An invalid value in an operator file, with the key, the problem and how to fix it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}{}{problem}; {remedy}", if key.is_empty() { "" } else { " " })]
 pub struct ValidationError {
-    /// The key by its full path, as `pools[2].name`; empty where the file as a whole is at fault.
+    /// The full path of the key, such as `pools[2].name`; empty if the problem is not at a key.
     pub key: String,
-    /// What is wrong, as the end of a sentence that begins with the key.
+    /// The problem, phrased as the predicate of a sentence whose subject is the key, such as `is over 10`.
     pub problem: String,
-    /// What to write instead.
+    /// How to fix the problem, phrased as an instruction, such as `write 10 or less`.
     pub remedy: String,
 }
 
 impl ValidationError {
-    /// What is wrong with the value of `key`, and what to write instead.
+    /// Creates an error for the value of `key`.
     pub fn new(
         key: impl Into<String>,
         problem: impl Into<String>,
