--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,8 +1,9 @@
 //! The flight recorder of a front node: a bounded ring buffer of events about recent queries and parts.
 //!
-//! A query is split into parts, one per shard; each part is sent to a replica of its shard in an attempt. A
-//! [`Record`] is one event of a query, part or connection, and takes up [`RECORD_BYTES`] bytes. Queries of
-//! some classes have a second step: more parts, sent once the parts of the first step are answered.
+//! A query is split into parts, each for one shard. Sending a part to an index server, which is called a
+//! replica of its shard, is an attempt. A [`Record`] is one event of a query, part or connection, and takes
+//! up [`RECORD_BYTES`] bytes. Queries of some classes have a second step: more parts, sent once the parts of
+//! the first step are answered.
 //!
 //! A [`Recorder`] allocates its ring buffer once, at full size. When the buffer is full, a new record
 //! overwrites the oldest. Recording an event costs one clock reading and one store; with a disabled recorder
