--- a/src/front_node/attempts.rs
+++ b/src/front_node/attempts.rs
@@ -1,8 +1,8 @@
-//! Ends of attempts: what an outcome says of the replica, and what it means for the part.
+//! Outcomes of attempts, and their effect on the record of the replica and on the part.
 
 use super::tuning::{
-    CONCURRENCY_HALF_LIFE, COUNTER_HALF_LIFE, FAILURE_HOLD, FAILURE_HOLD_GROWTH, FAILURE_HOLD_STEPS,
-    LATENCY_RATIO_CAP, LATENCY_RATIO_GAIN, MAX_SAMPLES,
+    CONCURRENCY_HALF_LIFE, COUNTER_HALF_LIFE, FAILURE_PENALTY_GROWTH, FAILURE_PENALTY_TIME,
+    LATENCY_RATIO_SMOOTHING, MAX_FAILURE_PENALTY_STEPS, MAX_LATENCY_RATIO, MAX_SAMPLES,
 };
 use super::FrontNode;
 use crate::interface::{Micros, Outcome};
@@ -10,10 +10,11 @@
 use crate::state::{AttemptId, InFlightAttempt, LatencySample};
 
 impl FrontNode {
-    /// An attempt has ended after `elapsed`. One that is not in flight is ignored.
+    /// Processes the end of an attempt, `elapsed` after it was sent. Ignores an attempt that is not in
+    /// flight.
     pub(super) fn on_attempt_ended(&mut self, id: AttemptId, outcome: Outcome, elapsed: Micros) {
         let Some(ended) = self.in_flight.remove(&id) else { return };
-        // Judged by what was known before this end.
+        // Determined first, as recording the outcome changes the latencies that this depends on.
         let overdue = self.is_overdue(&ended);
         if is_response(outcome) {
             self.last_response_at = self.now;
@@ -28,17 +29,18 @@
             Outcome::Cancelled if !overdue => {}
             _ => self.record_failure(&ended, elapsed, overdue || outcome != Outcome::Timeout),
         }
-        self.end_attempt_of_part(id, &ended, outcome);
+        self.mark_attempt_ended(id, &ended, outcome);
     }
 
-    /// A call is over once none of its attempts is in flight.
+    /// Counts the call of an ended attempt as ended too, if none of its other attempts is in flight.
     fn release_call(&mut self, ended: &InFlightAttempt) {
-        let call_over = !self.in_flight.values().any(|other| other.call == ended.call);
+        let call_over = !self.in_flight.values().any(|other| other.call_number == ended.call_number);
         if let Some(replica) = self.replicas.get_mut(&ended.replica) {
             replica.in_flight -= u32::from(call_over);
         }
     }
 
+    /// Records the latency of an answered attempt for its replica and for its class and step.
     fn record_answer(&mut self, ended: &InFlightAttempt, latency: Micros) {
         let ratio = self.ratio_to_typical(ended, latency);
         let class = &self.settings.classes[ended.class_step.class];
@@ -49,7 +51,7 @@
         let Some(replica) = self.replicas.get_mut(&ended.replica) else { return };
         replica.last_answer_at = self.now;
         replica.consecutive_failures = 0;
-        replica.latency_ratio = previous_ratio + LATENCY_RATIO_GAIN * (ratio - previous_ratio);
+        replica.latency_ratio = previous_ratio + LATENCY_RATIO_SMOOTHING * (ratio - previous_ratio);
         replica.latency_ratio_at = self.now;
         replica.sustained_concurrency.add(self.now, CONCURRENCY_HALF_LIFE, allowance);
         self.sustained_concurrency.add(self.now, CONCURRENCY_HALF_LIFE, allowance);
@@ -59,19 +61,22 @@
         push_bounded(&mut stats.samples, LatencySample { at: self.now, latency }, MAX_SAMPLES);
     }
 
-    /// A replica that fails, drops or rejects attempts must not look idle: a failed attempt keeps counting
-    /// as one in flight for a while, longer after failures in a row, and a long wait raises the latency
-    /// ratio (`raises_ratio`, false for a timeout before the attempt was overdue). This covers replicas that
-    /// fail one class only; it hurts where errors come with the query and not with the replica.
+    /// Records the failure of an attempt for its replica.
+    ///
+    /// A replica that fails, drops or rejects attempts must not look idle. A failed attempt therefore counts
+    /// as one in flight for some time, which is longer if there are other recent failures. In addition, a
+    /// long wait for the failure raises the latency ratio if `raises_ratio` is set, which it is not for a
+    /// timeout before the attempt was overdue. This also works for replicas that fail a single class of
+    /// queries. Its drawback is that errors that are caused by the query are held against the replica.
     fn record_failure(&mut self, ended: &InFlightAttempt, elapsed: Micros, raises_ratio: bool) {
         let ratio = self.ratio_to_typical(ended, elapsed);
-        let hold = FAILURE_HOLD.max(self.revisit_interval);
+        let penalty_time = FAILURE_PENALTY_TIME.max(self.mean_call_interval);
         let Some(known) = self.replicas.get(&ended.replica) else { return };
         let previous_ratio = self.latency_ratio(known);
         let Some(replica) = self.replicas.get_mut(&ended.replica) else { return };
-        let recent = replica.failure_holds.len().min(FAILURE_HOLD_STEPS) as f64;
-        let until = self.now + hold.mul_f64(1.0 + FAILURE_HOLD_GROWTH * recent);
-        replica.failure_holds.push(until);
+        let recent = replica.failure_penalty_ends.len().min(MAX_FAILURE_PENALTY_STEPS) as f64;
+        let until = self.now + penalty_time.mul_f64(1.0 + FAILURE_PENALTY_GROWTH * recent);
+        replica.failure_penalty_ends.push(until);
         replica.consecutive_failures += 1;
         if raises_ratio {
             replica.latency_ratio = previous_ratio.max(ratio);
@@ -79,12 +84,14 @@
         }
     }
 
+    /// Returns the time that an attempt took, divided by the typical latency and bounded.
     fn ratio_to_typical(&self, ended: &InFlightAttempt, elapsed: Micros) -> f64 {
-        elapsed.ratio_to(self.typical_latency(ended.class_step)).min(LATENCY_RATIO_CAP)
+        elapsed.ratio_to(self.typical_latency(ended.class_step)).min(MAX_LATENCY_RATIO)
     }
 
-    fn end_attempt_of_part(&mut self, id: AttemptId, ended: &InFlightAttempt, outcome: Outcome) {
-        let Some(query) = self.queries.get_mut(&ended.query) else { return };
+    /// Records the outcome of an attempt in its query, if that is still open.
+    fn mark_attempt_ended(&mut self, id: AttemptId, ended: &InFlightAttempt, outcome: Outcome) {
+        let Some(query) = self.queries.get_mut(&ended.query_number) else { return };
         let part = &mut query.parts[ended.part_index];
         part.answered |= outcome == Outcome::Ok;
         let attempt = &mut part.attempts[id.attempt as usize];
@@ -94,12 +101,13 @@
     }
 }
 
-/// Whether an outcome was brought about by the replica or its connection, and not by our own clock or choice.
+/// Returns whether the replica or its connection caused an outcome, as opposed to a timer or a decision of
+/// this front node.
 pub(super) fn is_response(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent)
 }
 
-/// Whether an outcome proves that the attempt did not run.
+/// Returns whether an outcome proves that the attempt did not run.
 fn never_ran(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
 }
--- a/src/front_node/dispatch.rs
+++ b/src/front_node/dispatch.rs
@@ -1,30 +1,30 @@
-//! Replica selection and sending: the least loaded holder of a shard, hedged requests, one bounded extra
-//! part.
+//! Replica selection and sending of attempts: each part goes to the least loaded replica of its shard.
+//! Overdue attempts are hedged, and a limited number of extra parts is sent.
 
-use super::tuning::{COUNTER_HALF_LIFE, EPSILON, EXTRA_PART_SHARE, TIMEOUT_MULTIPLE};
+use super::tuning::{COUNTER_HALF_LIFE, EPSILON, MAX_EXTRA_PART_SHARE, TIMEOUT_MULTIPLE};
 use super::FrontNode;
 use crate::interface::{Action, Micros, ReplicaId};
 use crate::numeric::hash_to_unit;
 use crate::state::{Attempt, AttemptId, BatchedCall, ClassStep, InFlightAttempt, Part, Query, Replica};
 
-/// Why an attempt would be sent, in the order in which they are preferred.
+/// Why an attempt is sent. Reasons that come first in this enum are preferred.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 enum SendReason {
-    /// The part was not sent yet.
+    /// The part has not been sent yet.
     FirstAttempt,
     /// All attempts of the part have failed.
     Retry,
-    /// All attempts of the part in flight are overdue.
+    /// The part has attempts in flight, and all of these are overdue.
     Hedge,
 }
 
-/// A part that may be sent now. Compared by `reason`, then `load`, then `tie_breaker`.
+/// A part that may be sent now, with the best replica for it. Compared by `reason`, `load` and `tie_breaker`.
 #[derive(Clone, Copy)]
 struct Candidate {
     reason: SendReason,
     load: f64,
     tie_breaker: f64,
-    /// The place of the part in its query.
+    /// Index of the part in [`Query::parts`].
     part_index: usize,
     replica: ReplicaId,
 }
@@ -35,11 +35,11 @@
     }
 }
 
-/// A replica that may take a part. Compared by `tried`, then `load`, then `tie_breaker`.
+/// A replica that may take a part. Compared by `tried`, `load` and `tie_breaker`.
 #[derive(Clone, Copy)]
 struct ReplicaChoice {
     replica: ReplicaId,
-    /// An attempt of the part went there before.
+    /// Whether an earlier attempt of the part was sent to the replica.
     tried: bool,
     load: f64,
     tie_breaker: f64,
@@ -51,57 +51,63 @@
     }
 }
 
-/// What a query has and what it could send.
-struct Survey {
-    /// The weight of the parts that are answered or in flight without being overdue.
+/// State of the current step of a query.
+struct StepStatus {
+    /// Total weight of the parts that are answered or have an attempt in flight that is not overdue.
     live_weight: f64,
-    /// The best part to send, if any may be sent.
+    /// The part to send first, if any part may be sent.
     best: Option<Candidate>,
 }
 
 impl FrontNode {
-    /// Sends what the query lacks, at most `most_sends` attempts: parts not sent yet, least load first, so
-    /// that an overdue part of an n-of-k class is answered by another part before it is hedged; then parts
-    /// whose attempts have all failed; then hedged requests for overdue ones. Beyond that, where any n parts
-    /// do, one extra part while these are few.
+    /// Sends the attempts that the current step of a query needs for a complete answer, at most `most_sends`.
+    ///
+    /// Parts that have not been sent yet come first, least loaded replica first. In a class that needs only n
+    /// of its k parts, an overdue part is thus replaced by another part before it is hedged. Next come parts
+    /// whose attempts have all failed, then hedged requests for overdue parts.
+    ///
+    /// In such a class, the query may send one extra part beyond what it needs, as long as the share of extra
+    /// parts is small.
     pub(super) fn dispatch(&mut self, query: &mut Query, most_sends: usize) {
         let needed = self.complete_share(query);
         let mut extra_part_due = self.may_send_extra_part(query, needed);
         query.extra_part_decided = true;
         for _ in 0..most_sends {
-            let survey = self.survey(query);
-            let lacking = survey.live_weight < needed - EPSILON;
-            let Some(best) = survey.best.filter(|_| lacking || extra_part_due) else { break };
+            let status = self.step_status(query);
+            let lacking = status.live_weight < needed - EPSILON;
+            let Some(best) = status.best.filter(|_| lacking || extra_part_due) else { break };
             if !lacking {
                 if best.reason != SendReason::FirstAttempt {
-                    // An extra part is one not sent yet, no retry.
+                    // Only a part that has not been sent yet can be an extra part, not a retry.
                     break;
                 }
                 extra_part_due = false;
-                self.extra_parts.add(self.now, COUNTER_HALF_LIFE, 1.0);
+                self.extra_parts_sent.add(self.now, COUNTER_HALF_LIFE, 1.0);
             }
             self.send(query, best.part_index, best.replica);
         }
     }
 
-    /// Whether an extra part is due: decided once for each query, and never while shedding load, when extra
-    /// parts would be served before their cancellation arrives.
+    /// Returns whether the query may send an extra part.
+    ///
+    /// This is decided once for each query, at its first dispatch. While load is shed no extra parts are
+    /// sent: replicas would serve them before the cancellation arrives.
     fn may_send_extra_part(&self, query: &Query, needed: f64) -> bool {
-        let most = EXTRA_PART_SHARE * self.sent.read(self.now, COUNTER_HALF_LIFE);
-        let few = self.extra_parts.read(self.now, COUNTER_HALF_LIFE) + 1.0 <= most;
+        let most = MAX_EXTRA_PART_SHARE * self.attempts_sent.read(self.now, COUNTER_HALF_LIFE);
+        let few = self.extra_parts_sent.read(self.now, COUNTER_HALF_LIFE) + 1.0 <= most;
         let n_of_k = query.step == 1 && needed < 1.0;
         few && self.in_flight_limit.is_none() && !query.extra_part_decided && n_of_k
     }
 
-    fn survey(&self, query: &Query) -> Survey {
-        let mut survey = Survey { live_weight: 0.0, best: None };
+    fn step_status(&self, query: &Query) -> StepStatus {
+        let mut status = StepStatus { live_weight: 0.0, best: None };
         let parts = query.parts.iter().enumerate().filter(|(_, part)| part.step == query.step);
         for (part_index, part) in parts {
             if part.answered || self.in_flight_of(part).any(|attempt| !self.is_overdue(attempt)) {
-                survey.live_weight += part.weight;
+                status.live_weight += part.weight;
                 continue;
             }
-            let Some(choice) = self.choose(query, part) else { continue };
+            let Some(choice) = self.choose_replica(query, part) else { continue };
             let candidate = Candidate {
                 reason: self.send_reason(part),
                 load: choice.load,
@@ -109,11 +115,11 @@
                 part_index,
                 replica: choice.replica,
             };
-            if survey.best.is_none_or(|best| candidate.is_better_than(&best)) {
-                survey.best = Some(candidate);
+            if status.best.is_none_or(|best| candidate.is_better_than(&best)) {
+                status.best = Some(candidate);
             }
         }
-        survey
+        status
     }
 
     fn send_reason(&self, part: &Part) -> SendReason {
@@ -131,8 +137,8 @@
         open.filter_map(|(attempt, _)| self.in_flight.get(&AttemptId { part: part.id, attempt }))
     }
 
-    /// The listed replicas of a shard, in service or draining, found by cell.
-    pub(super) fn holders(&self, shard: u32) -> impl Iterator<Item = (&ReplicaId, &Replica)> {
+    /// Returns the listed replicas, in service or draining, of the cells that hold a shard.
+    pub(super) fn replicas_of_shard(&self, shard: u32) -> impl Iterator<Item = (&ReplicaId, &Replica)> {
         let cell_count = self.settings.cell_count.max(1);
         let cells = self.settings.cells_per_shard.min(cell_count);
         let cell = move |place| (shard % cell_count + place) % cell_count;
@@ -140,27 +146,30 @@
         listed.flatten().filter_map(|id| self.replicas.get_key_value(id))
     }
 
-    /// The load by which replicas are compared: our calls in flight, failed attempts that still count, and
-    /// the part to be sent, times the load factor of a far slower replica; more at a replica that is warming
-    /// up, for the share of parts it can't take. That share is drawn (`draw`, 0 to 1): with little in flight
-    /// anywhere, a higher load for every part would mean that no front node sends it any.
-    fn load(&self, replica: &Replica, draw: f64) -> f64 {
-        let count = f64::from(replica.in_flight) + replica.failure_holds.len() as f64 + 1.0;
-        let warmth = self.warmth(replica);
-        count * replica.load_factor / if draw < warmth { 1.0 } else { warmth }
+    /// Returns the load by which replicas are compared.
+    ///
+    /// The load is the number of calls in flight, recent failures and the part to be sent, multiplied by the
+    /// load factor of the replica. At a replica that is warming up it is divided by the replica's present
+    /// share of its capacity, but only for a random part of the sends, the larger the smaller that share is
+    /// (`draw` is a random number from 0 to 1). If the load were higher for every send, no front node would
+    /// send the replica anything as long as there is little in flight at the others.
+    fn replica_load(&self, replica: &Replica, draw: f64) -> f64 {
+        let count = f64::from(replica.in_flight) + replica.failure_penalty_ends.len() as f64 + 1.0;
+        let capacity_share = self.capacity_share(replica);
+        count * replica.load_factor / if draw < capacity_share { 1.0 } else { capacity_share }
     }
 
-    /// The best replica for a part among those that may take it.
-    fn choose(&self, query: &Query, part: &Part) -> Option<ReplicaChoice> {
-        if !self.may_try(query, part) {
+    /// Returns the best replica among those that may take the part, if there is one.
+    fn choose_replica(&self, query: &Query, part: &Part) -> Option<ReplicaChoice> {
+        if !self.may_send_part(query, part) {
             return None;
         }
         let mut best: Option<ReplicaChoice> = None;
-        for (id, replica) in self.holders(part.shard) {
-            if !self.may_take(query, part, *id, replica) {
+        for (id, replica) in self.replicas_of_shard(part.shard) {
+            if !self.replica_may_take(query, part, *id, replica) {
                 continue;
             }
-            let choice = self.rate(part, *id, replica);
+            let choice = self.rate_replica(part, *id, replica);
             if best.is_none_or(|best| choice.is_better_than(&best)) {
                 best = Some(choice);
             }
@@ -168,17 +177,19 @@
         best
     }
 
-    /// Ties are broken at random: by a hash of the generator's state, the part and the replica, which stays
-    /// the same until the attempt is sent.
-    fn rate(&self, part: &Part, id: ReplicaId, replica: &Replica) -> ReplicaChoice {
+    /// Returns a replica with the values by which it is compared with others for this part.
+    ///
+    /// Ties are broken by a hash of the random generator's state, the part and the replica. The state changes
+    /// with each attempt sent, so the result is stable until then.
+    fn rate_replica(&self, part: &Part, id: ReplicaId, replica: &Replica) -> ReplicaChoice {
         let seed = self.random.state;
         let tie_breaker = hash_to_unit(seed ^ (u64::from(part.id) << 32) ^ u64::from(id));
         let draw = hash_to_unit(seed ^ (u64::from(id) << 32) ^ u64::from(part.id));
         let tried = part.attempts.iter().any(|attempt| attempt.replica == id);
-        ReplicaChoice { replica: id, tried, load: self.load(replica, draw), tie_breaker }
+        ReplicaChoice { replica: id, tried, load: self.replica_load(replica, draw), tie_breaker }
     }
 
-    /// The only place from which an attempt is sent.
+    /// Sends an attempt of a part to a replica, unless a check forbids it. All attempts are sent from here.
     fn send(&mut self, query: &mut Query, part_index: usize, replica: ReplicaId) {
         if !self.may_send(query, &query.parts[part_index], replica) {
             return;
@@ -187,54 +198,63 @@
         let timeout = self.attempt_timeout(query);
         let class = &self.settings.classes[query.class];
         let send_within = self.idempotency_time_left(class, &query.parts[part_index], class_step);
-        let Some(call) = self.join_call(replica, class_step) else { return };
+        let Some(call_number) = self.add_to_call(replica, class_step) else { return };
         let now = self.now;
         let part = &mut query.parts[part_index];
         let id = AttemptId { part: part.id, attempt: part.attempts.len() as u32 };
         part.attempts.push(Attempt::sent(replica, now));
-        let (query, cancelled) = (query.number, false);
-        let attempt =
-            InFlightAttempt { replica, sent_at: now, call, class_step, cancelled, query, part_index };
+        let (query_number, cancelled) = (query.number, false);
+        let attempt = InFlightAttempt {
+            replica,
+            sent_at: now,
+            call_number,
+            class_step,
+            cancelled,
+            query_number,
+            part_index,
+        };
         self.in_flight.insert(id, attempt);
         self.count_sent(id.attempt > 0);
-        // Moves the state on, so that the next attempt's ties are broken anew.
+        // Advances the generator, so that ties are broken differently for the next attempt.
         self.random.next();
         self.actions.push(Action::Attempt { part: id.part, replica, timeout, send_within });
     }
 
-    /// Adds a part to the call that is being filled for a replica in this batch, or begins another; its
-    /// number.
-    fn join_call(&mut self, id: ReplicaId, class_step: ClassStep) -> Option<u64> {
-        let work = self.work(class_step);
+    /// Adds a part to the call to a replica that was begun in this batch of events, or begins a new call if
+    /// there is none or it is full. Returns the number of the call.
+    fn add_to_call(&mut self, id: ReplicaId, class_step: ClassStep) -> Option<u64> {
+        let work = self.expected_work(class_step);
         let max_batch = self.settings.limits.max_batch;
         let oldest = self.now - self.settings.rules.overload_window;
         let replica = self.replicas.get_mut(&id)?;
-        if replica.batched_call.round == self.round && replica.batched_call.parts < max_batch {
+        if replica.batched_call.batch_number == self.batch_number && replica.batched_call.parts < max_batch {
             replica.batched_call.parts += 1;
         } else {
-            self.last_call += 1;
-            self.calls.add(self.now, COUNTER_HALF_LIFE, 1.0);
-            replica.batched_call = BatchedCall { round: self.round, number: self.last_call, parts: 1 };
+            self.last_call_number += 1;
+            self.calls_sent.add(self.now, COUNTER_HALF_LIFE, 1.0);
+            replica.batched_call =
+                BatchedCall { batch_number: self.batch_number, number: self.last_call_number, parts: 1 };
             replica.in_flight += 1;
         }
-        replica.recent_work.add(self.now, work, oldest);
+        replica.recent_work_sent.add(self.now, work, oldest);
         Some(replica.batched_call.number)
     }
 
-    /// Until the query is given up; where an attempt can't be hedged or cancelled, less, so that its timeout
-    /// frees the part for the next attempt.
+    /// Returns the timeout of an attempt: the time until the query is given up, or less if attempts can't be
+    /// both hedged and cancelled. In that case the timeout is what allows the next attempt of the part.
     fn attempt_timeout(&self, query: &Query) -> Micros {
-        let left = self.stop_at(query) - self.now;
+        let left = self.give_up_at(query) - self.now;
         if self.settings.limits.allow_hedging && self.settings.limits.allow_cancel {
             return left;
         }
         self.overdue_after(query.class_step()).mul_f64(TIMEOUT_MULTIPLE).min(left)
     }
 
-    fn count_sent(&mut self, retry: bool) {
-        self.sent.add(self.now, COUNTER_HALF_LIFE, 1.0);
-        if retry {
-            self.retries.add(self.now, COUNTER_HALF_LIFE, 1.0);
+    /// Counts an attempt that was sent; `is_retry` if an attempt of the same part was sent before.
+    fn count_sent(&mut self, is_retry: bool) {
+        self.attempts_sent.add(self.now, COUNTER_HALF_LIFE, 1.0);
+        if is_retry {
+            self.retries_sent.add(self.now, COUNTER_HALF_LIFE, 1.0);
             self.retry_window.add(self.now, 1.0, self.now - self.budget_retention);
         }
     }
--- a/src/front_node/endpoint_list.rs
+++ b/src/front_node/endpoint_list.rs
@@ -1,14 +1,16 @@
-//! The endpoint list: lists and watch events taken in, the watch kept up.
+//! The endpoint list: applies lists and watch events, and keeps the watch on the list running.
 
 use super::tuning::{
-    INITIAL_POLL_BACKOFF, MAX_POLL_BACKOFF_SHARE, NOTIFIED_AFTER, POLL_BACKOFF_GROWTH, POLL_TIMEOUT_SHARE,
+    INITIAL_POLL_BACKOFF, LIST_STALENESS_LIMIT, MAX_POLL_BACKOFF_SHARE, POLL_BACKOFF_GROWTH,
+    POLL_TIMEOUT_SHARE,
 };
 use super::FrontNode;
 use crate::interface::{Action, Lifecycle, ListedReplica, Micros, ReplicaId};
 use crate::state::Replica;
 
 impl FrontNode {
-    /// A complete list: replicas that are not on it are gone. A cached one doesn't confirm the watch.
+    /// Applies a complete list. Replicas that are not on it are removed. A cached list does not confirm the
+    /// watch.
     pub(super) fn on_endpoint_list(&mut self, entries: &[ListedReplica], cached: bool) {
         let listed: Vec<ReplicaId> = entries.iter().map(|entry| entry.replica).collect();
         for (_, replica) in self.replicas.iter_mut().filter(|(id, _)| !listed.contains(id)) {
@@ -20,29 +22,33 @@
         self.apply_entries(entries);
     }
 
-    /// A watch event: the entries that have changed.
+    /// Applies a watch event, which contains the entries that have changed.
     pub(super) fn on_endpoint_list_changed(&mut self, entries: &[ListedReplica]) {
         self.confirm_watch();
         self.apply_entries(entries);
     }
 
-    /// The watch is lost: it is requested again after a backoff that grows each time and is drawn at random,
-    /// so that many front nodes spread out. Three requests fit into the time after which changes count as
-    /// notified.
+    /// Schedules a new request after the watch has failed.
+    ///
+    /// The backoff grows with each failure and is randomized to spread the requests of many front nodes. It
+    /// is bounded so that three requests fit into the time after which a change of the list is treated as
+    /// known to the front node.
     pub(super) fn on_watch_failed(&mut self) {
         let watch = &mut self.endpoint_watch;
         watch.requested_at = None;
-        // Unconfirmed, so that the idle timer runs and requests the list even where no query comes.
+        // Keeps the idle timer running, so that the list is requested even if no query arrives.
         watch.confirmed = false;
         watch.next_poll_at = self.now + watch.backoff.mul_f64(0.5 + self.random.next());
-        let most = self.settings.rules.max_list_staleness.min(NOTIFIED_AFTER).mul_f64(MAX_POLL_BACKOFF_SHARE);
+        let most =
+            self.settings.rules.max_list_staleness.min(LIST_STALENESS_LIMIT).mul_f64(MAX_POLL_BACKOFF_SHARE);
         watch.backoff = watch.backoff.mul_f64(POLL_BACKOFF_GROWTH).min(most);
         self.log("endpoint list watch lost, polling again".to_owned());
     }
 
-    /// Where the list must be polled, requests it with a watch from the start on, and again when the watch
-    /// fails or the request is not answered: without a watch, changes not seen here would soon count as
-    /// notified.
+    /// Requests the endpoint list with a watch if the list has to be polled and no watch is running.
+    ///
+    /// The request is repeated when the watch fails or the request is not answered in time. Without a watch
+    /// the front node would miss changes that it is expected to know.
     pub(super) fn request_endpoint_list(&mut self) {
         if !self.settings.poll_endpoint_list || self.now < self.endpoint_watch.next_poll_at {
             return;
@@ -57,6 +63,7 @@
         }
     }
 
+    /// Records that the watch is running and resets the backoff.
     fn confirm_watch(&mut self) {
         if self.endpoint_watch.backoff > INITIAL_POLL_BACKOFF {
             self.log("endpoint list watch regained".to_owned());
@@ -74,12 +81,13 @@
 
     fn apply_entry(&mut self, entry: &ListedReplica) {
         let now = self.now;
-        // Drawn for every entry, used or not: the sequence of draws doesn't depend on what is known.
-        let spacing_phase = self.random.next();
-        let new = || Replica::new(entry.started_at, spacing_phase);
-        let replica = self.replicas.entry(entry.replica).or_insert_with(new);
+        // Drawn for every entry, even if unused, so that the sequence of random numbers does not depend on
+        // the state.
+        let first_send_phase = self.random.next();
+        let new_replica = || Replica::new(entry.started_at, first_send_phase);
+        let replica = self.replicas.entry(entry.replica).or_insert_with(new_replica);
         if entry.started_at.is_some() && entry.started_at != replica.started_at {
-            restart(replica, entry.started_at, spacing_phase, now);
+            reset_restarted(replica, entry.started_at, first_send_phase, now);
         }
         replica.cell = entry.cell;
         replica.relative_capacity = entry.relative_capacity;
@@ -95,11 +103,12 @@
     }
 }
 
-/// A known replica runs as a new process: failures and latencies of the former one say nothing of it.
-fn restart(replica: &mut Replica, started: Option<Micros>, spacing_phase: f64, now: Micros) {
-    replica.failure_holds.clear();
+/// Resets a replica that runs as a new process, to which failures and latencies of the previous one do not
+/// apply.
+fn reset_restarted(replica: &mut Replica, started_at: Option<Micros>, first_send_phase: f64, now: Micros) {
+    replica.failure_penalty_ends.clear();
     replica.latency_ratio = 1.0;
     replica.last_answer_at = now;
-    replica.started_at = started;
-    replica.spacing_phase = spacing_phase;
+    replica.started_at = started_at;
+    replica.first_send_phase = first_send_phase;
 }
--- a/src/front_node/events.rs
+++ b/src/front_node/events.rs
@@ -1,11 +1,11 @@
-//! Events taken in: queries and their parts, clients that disconnect; the others go to their subsystems.
+//! Dispatch of events to the subsystems, and the events of clients: queries, their parts and disconnections.
 
-use super::tuning::{FULL_TRY_SHARE, UNMARKED_RETRIES};
+use super::tuning::{FULL_TRY_SHARE, MAX_CONSECUTIVE_SHORT_TRIES};
 use super::FrontNode;
 use crate::interface::{Action, Event, Id, Micros};
 use crate::state::{AttemptId, Part, Query};
 
-/// A query as it arrives: the fields of [`Event::Query`].
+/// A query that has just arrived, with the fields of [`Event::Query`].
 struct ArrivedQuery {
     id: Id,
     number: u64,
@@ -17,8 +17,8 @@
 }
 
 impl FrontNode {
-    /// Takes in one event. Decisions on queries follow once for the whole batch.
-    pub(super) fn absorb(&mut self, event: &Event) {
+    /// Applies an event to the state. Decisions on queries are made later, once for the whole batch.
+    pub(super) fn apply_event(&mut self, event: &Event) {
         match *event {
             Event::EndpointList { ref replicas, cached } => self.on_endpoint_list(replicas, cached),
             Event::EndpointListChanged(ref entries) => self.on_endpoint_list_changed(entries),
@@ -33,7 +33,7 @@
                 self.on_attempt_ended(AttemptId { part, attempt }, outcome, elapsed);
             }
             Event::ClientDisconnected(id) => self.on_client_disconnected(id),
-            Event::TimerFired => self.idle_wake_at = self.idle_wake_at.filter(|at| *at > self.now),
+            Event::TimerFired => self.idle_timer_at = self.idle_timer_at.filter(|at| *at > self.now),
             Event::HealthChecked => {}
         }
     }
@@ -41,13 +41,13 @@
     fn on_query(&mut self, arrived: ArrivedQuery) {
         self.count_received();
         let Some(class) = self.settings.classes.get(arrived.class) else {
-            // Nothing of it ran.
+            // No part of it has run.
             self.actions.push(Action::Reject { query: arrived.id, retry_after: None });
             return;
         };
         let stretch = arrived.work_hint.unwrap_or_default().mul_f64(class.objective_work_factor);
         let objective = (class.latency_objective + stretch).min(class.deadline);
-        let waited = self.time_waited_before(&arrived);
+        let waited = self.time_waited_in_earlier_tries(&arrived);
         let query = Query {
             id: arrived.id,
             number: arrived.number,
@@ -60,27 +60,29 @@
             step: 1,
             ..Query::default()
         };
-        // A timer of the query's own, so that its final answer depends on no other one.
-        let time_left = self.stop_at(&query) - self.now;
+        // Each query has a timer of its own, so that its final answer does not depend on other timers.
+        let time_left = self.give_up_at(&query) - self.now;
         self.actions.push(Action::SetTimer(time_left.max(Micros(0))));
         self.queries.insert(arrived.number, query);
     }
 
-    /// How long the client has waited in earlier tries of this query. A retry that is given less time than
-    /// the longest try of its class was cut by the client's deadline, which tells the wait. Where clients
-    /// don't mark retries, every short try is taken for one, unless so many come in a row that all have
-    /// become short.
-    fn time_waited_before(&mut self, arrived: &ArrivedQuery) -> Micros {
+    /// Returns how long the client has already waited in earlier tries of this query.
+    ///
+    /// A retry that is given less time than the longest try of its class is limited by the client's deadline,
+    /// so the time left before the deadline shows how long the client has waited. If clients do not mark
+    /// retries, every short try counts as a retry, except after so many consecutive short tries that clients
+    /// must generally allow less time than before.
+    fn time_waited_in_earlier_tries(&mut self, arrived: &ArrivedQuery) -> Micros {
         let tries = &mut self.client_tries[arrived.class];
-        let full = arrived.expires_in.ratio_to(tries.longest) > FULL_TRY_SHARE;
-        tries.consecutive_short = if full { 0 } else { tries.consecutive_short + 1 };
+        let is_full = arrived.expires_in.ratio_to(tries.longest) > FULL_TRY_SHARE;
+        tries.consecutive_short = if is_full { 0 } else { tries.consecutive_short + 1 };
         tries.longest = tries.longest.max(arrived.expires_in);
-        let retry = if self.settings.clients_mark_retries {
+        let is_retry = if self.settings.clients_mark_retries {
             arrived.retry
         } else {
-            tries.consecutive_short < UNMARKED_RETRIES
+            tries.consecutive_short < MAX_CONSECUTIVE_SHORT_TRIES
         };
-        if retry && !full {
+        if is_retry && !is_full {
             self.settings.classes[arrived.class].deadline - arrived.expires_in
         } else {
             Micros(0)
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Counts a query or a part for the retry budget.
+    /// Counts a received query or part for the retry budget.
     fn count_received(&mut self) {
         self.received_window.add(self.now, 1.0, self.now - self.budget_retention);
     }
--- a/src/front_node/lifecycle.rs
+++ b/src/front_node/lifecycle.rs
@@ -1,16 +1,16 @@
-//! One query's lifecycle: waiting, admission, sending, the final answer, cancelling what is left in flight.
+//! Lifecycle of a query: waiting, admission, dispatch, the final answer, cancellation of attempts in flight.
 
-use super::query_of_death::CrashCaution;
-use super::tuning::{EPSILON, MAX_SETTLE_SHARE, SETTLE_DELAY, STOP_MARGIN_TICKS};
+use super::query_of_death::CrashContainment;
+use super::tuning::{EPSILON, GIVE_UP_MARGIN_TICKS, MAX_STALL_WAIT_SHARE, RESUME_DELAY};
 use super::FrontNode;
 use crate::interface::{Action, Idempotency, Micros};
 use crate::state::{AttemptId, ClassStep, Part, Query};
 
 impl FrontNode {
-    /// Takes a query as far as it goes now; false once it has its final answer.
+    /// Advances a query as far as is possible now. Returns false if it has got its final answer.
     pub(super) fn advance(&mut self, query: &mut Query) -> bool {
         if !query.admitted {
-            if self.waits_to_settle(query) {
+            if self.waits_after_stall(query) {
                 return true;
             }
             if !self.admit(query) {
@@ -21,29 +21,34 @@
         if self.is_complete(query) {
             return self.answer_step(query);
         }
-        let caution = self.crash_caution(query);
-        if caution.query_of_death {
+        let containment = self.crash_containment(query);
+        if containment.query_of_death {
             self.log(format!("query of death: class {} crashes replicas", query.class));
         }
-        if caution.query_of_death || !self.floor_in_reach(query) || self.now >= self.stop_at(query) {
+        if containment.query_of_death
+            || !self.min_share_is_reachable(query)
+            || self.now >= self.give_up_at(query)
+        {
             return self.give_up(query);
         }
         self.cancel_in_flight(query, true);
-        if !self.waits_to_settle(query) {
-            self.send_cautiously(query, &caution);
+        if !self.waits_after_stall(query) {
+            self.dispatch_contained(query, &containment);
         }
         true
     }
 
-    fn send_cautiously(&mut self, query: &mut Query, caution: &CrashCaution) {
-        if caution.cautious && self.has_young_attempt(query) {
+    /// Dispatches a query under the restrictions that contain a possible query of death.
+    fn dispatch_contained(&mut self, query: &mut Query, containment: &CrashContainment) {
+        if containment.wait_for_answers && self.has_recent_attempt(query) {
             return;
         }
-        let most_sends = if caution.one_at_a_time { 1 } else { usize::MAX };
+        let most_sends = if containment.one_at_a_time { 1 } else { usize::MAX };
         self.dispatch(query, most_sends);
     }
 
-    /// The share of the step's weight that makes its answer complete; all of it in a second step.
+    /// Returns the share of the current step's weight that makes its answer complete. A second step needs all
+    /// of it.
     pub(super) fn complete_share(&self, query: &Query) -> f64 {
         if query.step == 1 {
             self.settings.classes[query.class].complete_share
@@ -59,7 +64,8 @@
         query.answered_weight() > needed - EPSILON && (needed < 1.0 || all_answered)
     }
 
-    /// Answers the step; whether the query goes on with a second one, whose parts come with the next batch.
+    /// Answers the current step. Returns whether a second step follows, whose parts arrive with a later
+    /// batch.
     fn answer_step(&mut self, query: &mut Query) -> bool {
         self.actions.push(Action::Answer { query: query.id, complete: true });
         self.cancel_in_flight(query, false);
@@ -67,21 +73,23 @@
         query.step == 2 && self.settings.classes[query.class].has_second_step()
     }
 
-    /// Whether the partial floor can still be reached: a part that has used up its attempts can't be
-    /// answered.
-    fn floor_in_reach(&self, query: &Query) -> bool {
+    /// Returns whether the weight that the class requires for a partial answer can still be reached. A part
+    /// that has used up its attempts, with none in flight, can no longer be answered.
+    fn min_share_is_reachable(&self, query: &Query) -> bool {
         let max_attempts = self.settings.limits.max_attempts as usize;
-        let open = |part: &Part| part.attempts.len() < max_attempts || part.has_attempt_in_flight();
-        let reachable = query.step_parts().filter(|part| part.answered || open(part));
+        let answerable = |part: &Part| part.attempts.len() < max_attempts || part.has_attempt_in_flight();
+        let reachable = query.step_parts().filter(|part| part.answered || answerable(part));
         let weight: f64 = reachable.map(|part| part.weight).sum();
-        let floor = if query.step == 1 { self.settings.classes[query.class].partial_min_share } else { 1.0 };
-        weight >= floor - EPSILON
+        let min_share =
+            if query.step == 1 { self.settings.classes[query.class].partial_min_share } else { 1.0 };
+        weight >= min_share - EPSILON
     }
 
-    /// When the query is given up: at its deadline, or at its latency objective where a late answer earns
-    /// less than what waiting forgoes (a partial answer in time, where one may be given) and costs (work
-    /// that may serve nothing, in each step to come).
-    pub(super) fn stop_at(&self, query: &Query) -> Micros {
+    /// Returns when the query is given up, some ticks before its deadline or its latency objective.
+    ///
+    /// The deadline applies if a late answer earns more than a partial answer in time would, where the class
+    /// allows one, and more than the work costs that may be wasted in each remaining step.
+    pub(super) fn give_up_at(&self, query: &Query) -> Micros {
         let class = &self.settings.classes[query.class];
         let partial = if class.partial_min_share < class.complete_share {
             class.partial_weight_share * class.partial_min_share / class.complete_share
@@ -91,24 +99,25 @@
         let steps = if query.step == 1 && class.has_second_step() { 2.0 } else { 1.0 };
         let late_pays = class.late_weight_share > partial.max(self.settings.wasted_work_cost * steps);
         let end = if late_pays { query.deadline_at } else { query.deadline_at.min(query.objective_at) };
-        end - self.settings.tick.mul_f64(STOP_MARGIN_TICKS)
+        end - self.settings.tick.mul_f64(GIVE_UP_MARGIN_TICKS)
     }
 
-    /// Whether the query waits for things to settle, in which case a timer is set.
+    /// Returns whether the query has to wait because of a stall. If so, sets a timer for the end of the wait.
     ///
-    /// In a silence and just after it a new query waits, for a quarter of its objective at most: no replica
-    /// reads what is sent meanwhile, and of the clients whose queries come in a bunch after it some have
-    /// left by then. Right after a standstill every query waits, also with what it would send again.
-    fn waits_to_settle(&mut self, query: &Query) -> bool {
-        let in_silence = !query.admitted && self.silence.until > Micros(0);
-        let silence_end = if in_silence {
-            let latest =
-                query.arrived_at + self.latest_hedge(ClassStep::first(query.class)).mul_f64(MAX_SETTLE_SHARE);
-            (self.silence.until + SETTLE_DELAY).min(latest)
+    /// During a stall of all replicas and shortly after it, a query that is not admitted yet waits, for a
+    /// quarter of its objective at most: replicas do not read what is sent during the stall, and some of the
+    /// clients whose queries arrive in a burst after it have already disconnected. Right after a pause of
+    /// this machine every query waits, and so do its retries.
+    fn waits_after_stall(&mut self, query: &Query) -> bool {
+        let in_stall = !query.admitted && self.global_stall.observed_until > Micros(0);
+        let stall_wait_end = if in_stall {
+            let latest = query.arrived_at
+                + self.latest_hedge(ClassStep::first(query.class)).mul_f64(MAX_STALL_WAIT_SHARE);
+            (self.global_stall.observed_until + RESUME_DELAY).min(latest)
         } else {
             Micros(0)
         };
-        let until = silence_end.max(self.settled_at).min(self.stop_at(query));
+        let until = stall_wait_end.max(self.resume_sends_at).min(self.give_up_at(query));
         let waits = self.now < until;
         if waits {
             self.actions.push(Action::SetTimer(until - self.now));
@@ -116,7 +125,7 @@
         waits
     }
 
-    /// Cancels the query's attempts in flight: of every part, or only of those already answered.
+    /// Cancels the query's attempts in flight, of all parts or only of the parts that are answered already.
     pub(super) fn cancel_in_flight(&mut self, query: &Query, answered_only: bool) {
         for part in query.parts.iter().filter(|part| part.answered || !answered_only) {
             for (number, attempt) in (0..).zip(&part.attempts) {
@@ -127,7 +136,7 @@
         }
     }
 
-    /// Marks an attempt as cancelled, and cancels it at its replica where that is allowed.
+    /// Marks an attempt as cancelled, and cancels it at its replica if the deployment allows that.
     fn cancel(&mut self, id: AttemptId) {
         let Some(attempt) = self.in_flight.get_mut(&id) else { return };
         if attempt.cancelled {
@@ -139,14 +148,15 @@
         }
     }
 
-    /// The final answer without a complete one: a partial answer where the class allows it and enough is
-    /// answered, a rejection where a retry by the client does no harm, else a failure. Always false: the
-    /// query has ended.
+    /// Ends a query without a complete answer, and returns false to signal that it has ended.
+    ///
+    /// The query gets a partial answer if the class allows it and enough parts are answered. Otherwise it is
+    /// rejected if a retry by the client is safe, and fails if not.
     fn give_up(&mut self, query: &Query) -> bool {
-        let harmless = self.settings.classes[query.class].idempotency == Idempotency::Idempotent;
+        let idempotent = self.settings.classes[query.class].idempotency == Idempotency::Idempotent;
         let action = if self.may_answer_partially(query) {
             Action::Answer { query: query.id, complete: false }
-        } else if harmless || query.surely_never_ran() {
+        } else if idempotent || query.provably_never_ran() {
             Action::Reject { query: query.id, retry_after: self.draw_retry_after() }
         } else {
             Action::Fail { query: query.id }
@@ -164,7 +174,7 @@
         allowed && answered > class.partial_min_share - EPSILON && answered > 0.0
     }
 
-    /// A Retry-After between half of the longest one and all of it, where clients are given one.
+    /// Returns a random `Retry-After` from half of the longest one to all of it, if clients get one.
     fn draw_retry_after(&mut self) -> Option<Micros> {
         let limits = &self.settings.limits;
         limits.send_retry_after.then(|| limits.max_retry_after.mul_f64(0.5 + 0.5 * self.random.next()))
--- a/src/front_node/mod.rs
+++ b/src/front_node/mod.rs
@@ -1,14 +1,18 @@
-//! Interface: src/interface.rs (settings, events, actions). The front node's decisions: its state and the
-//! batch here, its tuned values in `tuning`, and one module for each subsystem.
+//! Decisions of a front node. Their interface is src/interface.rs (settings, events and actions).
+//!
+//! This module holds the state of a [`FrontNode`] and processes batches of events. Each submodule adds the
+//! decisions of one subsystem; `tuning` holds the tuned constants of all of them.
 
 use crate::interface::{Action, Event, Id, Micros, ReplicaId, Settings};
 use crate::numeric::{DecayingCounter, SlidingWindow, SplitMix64};
 use crate::state::{
-    AttemptId, ClassStep, ClientTries, EndpointWatch, InFlightAttempt, LatencyStats, Query, Replica, Silence,
+    AttemptId, ClassStep, ClientTries, EndpointWatch, GlobalStall, InFlightAttempt, LatencyStats, Query,
+    Replica,
 };
 use std::collections::{BTreeMap, VecDeque};
 use tuning::{
-    DEFAULT_POLL_WITHIN_MULTIPLE, FIRST_POLL_SPREAD, IDLE_WAKE, INITIAL_POLL_BACKOFF, MAX_FIRST_POLL_SHARE,
+    DEFAULT_STALENESS_MULTIPLE, FIRST_POLL_SPREAD, IDLE_TIMER_INTERVAL, INITIAL_POLL_BACKOFF,
+    MAX_FIRST_POLL_SHARE,
 };
 
 mod admission;
@@ -22,90 +26,93 @@
 mod overdue;
 mod query_of_death;
 mod retry;
-mod silence;
 mod slow_start;
+mod stalls;
 mod tuning;
 
-/// The retry window is kept for this multiple of its length, so that its bounds never fall out of it.
+/// Time for which entries of the retry budget's windows are kept, as a multiple of the window length. It is
+/// above 1 because the budget counts retries over a window that is one tick longer.
 const RETAINED_BUDGET_WINDOWS: f64 = 2.0;
 
-/// The decisions of one front node.
+/// The decision core of one front node.
 ///
-/// Deterministic: the same settings, seed and batches bring the same actions.
+/// It is deterministic: the same settings, seed, batches of events and times give the same actions.
 #[derive(Default)]
 pub struct FrontNode {
-    /// The settings, fixed at the start.
+    /// The settings. They do not change.
     settings: Settings,
-    /// Source of every random draw.
+    /// Source of all random numbers.
     random: SplitMix64,
-    /// The time of the present batch.
+    /// Time of the current batch.
     now: Micros,
     /// When this front node started.
     started_at: Micros,
-    /// Number of the present batch.
-    round: u64,
-    /// Number of the latest call to a replica.
-    last_call: u64,
-    /// The replicas listed, and those that left while something of them counts.
+    /// Number of the current batch.
+    batch_number: u64,
+    /// Number of the latest call to any replica.
+    last_call_number: u64,
+    /// All replicas on the endpoint list, and removed ones as long as their data is still used.
     replicas: BTreeMap<ReplicaId, Replica>,
-    /// Queries without a final answer, by their number.
+    /// Open queries by sequence number.
     queries: BTreeMap<u64, Query>,
-    /// Attempts in flight.
+    /// Attempts in flight at any replica.
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Observed latencies, by [`ClassStep::index`].
+    /// Observed latencies, indexed by [`ClassStep::index`].
     latency_stats: Vec<LatencyStats>,
-    /// How long clients' tries are, by class.
+    /// The time that clients allow for a try, by class.
     client_tries: Vec<ClientTries>,
-    /// Queries and parts received, for the retry budget.
+    /// Queries and parts received recently, for the retry budget.
     received_window: SlidingWindow,
-    /// Retries sent, for the retry budget.
+    /// Retries and hedged requests sent recently, for the retry budget.
     retry_window: SlidingWindow,
-    /// How long entries of these two windows are kept.
+    /// Time for which entries of `received_window` and `retry_window` are kept.
     budget_retention: Micros,
-    /// The replicas listed in each cell.
+    /// The replicas on the endpoint list by cell.
     replicas_by_cell: BTreeMap<u32, Vec<ReplicaId>>,
-    /// Attempts sent, retries included.
-    sent: DecayingCounter,
-    /// Extra parts sent, beyond those that their queries needed.
-    extra_parts: DecayingCounter,
-    /// Attempts of parts sent before: retries and hedged requests.
-    retries: DecayingCounter,
-    /// Queries of each tenant.
+    /// Attempts sent, including retries.
+    attempts_sent: DecayingCounter,
+    /// Extra parts sent: parts beyond those that their queries needed.
+    extra_parts_sent: DecayingCounter,
+    /// Retries and hedged requests sent.
+    retries_sent: DecayingCounter,
+    /// Queries received, by tenant.
     tenant_queries: Vec<DecayingCounter>,
-    /// Priority weight for work of the latest queries.
-    recent_densities: VecDeque<f64>,
-    /// Recent answers of all replicas, counted as in [`Replica::sustained_concurrency`].
+    /// Priority weight per unit of work of the most recent queries, oldest first.
+    recent_weights_per_work: VecDeque<f64>,
+    /// Recent answers of all replicas, weighted as in [`Replica::sustained_concurrency`].
     sustained_concurrency: DecayingCounter,
     /// Calls sent to replicas.
-    calls: DecayingCounter,
-    /// Mean time until a replica gets its next call from us.
-    revisit_interval: Micros,
-    /// Work answered, in seconds of one core.
+    calls_sent: DecayingCounter,
+    /// Mean time between two calls of this front node to the same replica.
+    mean_call_interval: Micros,
+    /// Work of answered attempts, in seconds of one core.
     answered_work: DecayingCounter,
-    /// Work a second that a replica of size 1 does for us on average, in cores.
+    /// Mean work per second that a replica of relative capacity 1 does for this front node, in cores.
     mean_work_rate: f64,
-    /// Most parts in flight that admission allows, while shedding load.
+    /// Maximum number of parts in flight that admission allows; `None` unless load is being shed.
     in_flight_limit: Option<f64>,
-    /// The watch on the endpoint list.
+    /// State of the watch on the endpoint list.
     endpoint_watch: EndpointWatch,
-    /// When the idle timer is due, if one is set.
-    idle_wake_at: Option<Micros>,
-    /// When an attempt last found its replica unreachable.
+    /// When the idle timer expires; `None` if it is not set.
+    idle_timer_at: Option<Micros>,
+    /// When a connection to a replica last failed to be established, which is taken for a crash.
     last_crash_at: Option<Micros>,
-    /// When any replica last answered or dropped an attempt.
+    /// When any replica last responded to an attempt, be it with an error or by dropping the connection.
     last_response_at: Micros,
-    /// The latest silence of all replicas.
-    silence: Silence,
-    /// When an event of a client or a replica last came.
+    /// The latest stall of all replicas.
+    global_stall: GlobalStall,
+    /// When the latest event that a client or a replica caused arrived.
     last_external_event_at: Micros,
-    /// After a standstill: nothing is sent until then, as more events may be waiting to be read.
-    settled_at: Micros,
-    /// Actions decided in the present batch.
+    /// Time until which nothing is sent after a pause of this machine, as more events may be waiting to be
+    /// read.
+    resume_sends_at: Micros,
+    /// Actions decided on in the current batch.
     actions: Vec<Action>,
 }
 
 impl FrontNode {
-    /// A front node that knows nothing but its settings, started now. The seed feeds its random draws.
+    /// Creates a front node that starts at `now` and knows no replicas yet. `seed` determines its random
+    /// numbers.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> FrontNode {
         let classes = settings.classes.len();
         let budget_window = settings.rules.retry_budget.map_or(Micros(0), |budget| budget.window);
@@ -124,15 +131,18 @@
         node
     }
 
-    /// Takes in a batch of events that came up to `now`, in order, then decides once and appends the actions.
+    /// Processes a batch of events and appends the resulting actions to `actions`.
+    ///
+    /// The events, which arrived up to `now`, are applied in order. Decisions are made once, after the last
+    /// event.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
-        self.round += 1;
-        self.detect_silence(events);
+        self.batch_number += 1;
+        self.detect_stalls(events);
         for event in events {
-            self.absorb(event);
+            self.apply_event(event);
         }
-        self.judge_replicas();
+        self.update_replica_health();
         self.request_endpoint_list();
         self.update_in_flight_limit();
         self.advance_queries();
@@ -140,24 +150,27 @@
         actions.append(&mut self.actions);
     }
 
-    /// Number of replicas of which something is remembered: those listed, and those that left while an
-    /// attempt is in flight there, a failure counts or they could still be warming up.
+    /// Returns the number of replicas that the front node holds data of.
+    ///
+    /// These are the replicas on the endpoint list, and removed ones that have an attempt in flight, have
+    /// failed recently or started so recently that they may be warming up.
     pub fn tracked_replicas(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Front nodes often restart together: their first polls are spread, to spare the list service.
+    /// Schedules the first request of the endpoint list at a random time. Front nodes often restart together;
+    /// spreading their requests protects the discovery service.
     fn schedule_first_poll(&mut self) {
         self.endpoint_watch.backoff = INITIAL_POLL_BACKOFF;
-        // Where no time is stated within which the list must be polled, waits still need a bound.
-        let default = INITIAL_POLL_BACKOFF.mul_f64(DEFAULT_POLL_WITHIN_MULTIPLE);
-        self.settings.rules.max_list_staleness = self.settings.rules.max_list_staleness.max(default);
+        // The settings may leave the maximum staleness at zero; poll intervals need a bound anyway.
+        let min_staleness = INITIAL_POLL_BACKOFF.mul_f64(DEFAULT_STALENESS_MULTIPLE);
+        self.settings.rules.max_list_staleness = self.settings.rules.max_list_staleness.max(min_staleness);
         let spread = INITIAL_POLL_BACKOFF.mul_f64(FIRST_POLL_SPREAD * f64::from(self.settings.fleet_size));
         let most = self.settings.rules.max_list_staleness.mul_f64(MAX_FIRST_POLL_SHARE);
         self.endpoint_watch.next_poll_at = self.now + spread.min(most).mul_f64(self.random.next());
     }
 
-    /// Takes every query, in the order of their numbers, as far as it goes now.
+    /// Advances every open query, in ascending order of sequence numbers, and drops those that have ended.
     fn advance_queries(&mut self) {
         let numbers: Vec<u64> = self.queries.keys().copied().collect();
         for number in numbers {
@@ -168,26 +181,26 @@
         }
     }
 
-    /// Sets a timer while there is something to look after: an open query, or an endpoint list to poll.
+    /// Sets the idle timer if there are open queries or the endpoint list still has to be polled.
     fn set_idle_timer(&mut self) {
         let list_missing = self.settings.poll_endpoint_list && !self.endpoint_watch.confirmed;
-        if (list_missing || !self.queries.is_empty()) && self.idle_wake_at.is_none() {
-            self.idle_wake_at = Some(self.now + IDLE_WAKE);
-            self.actions.push(Action::SetTimer(IDLE_WAKE));
+        if (list_missing || !self.queries.is_empty()) && self.idle_timer_at.is_none() {
+            self.idle_timer_at = Some(self.now + IDLE_TIMER_INTERVAL);
+            self.actions.push(Action::SetTimer(IDLE_TIMER_INTERVAL));
         }
     }
 
-    /// The observed latencies of a class and step.
+    /// Returns the observed latencies of a class and step.
     fn stats(&self, class_step: ClassStep) -> &LatencyStats {
         &self.latency_stats[class_step.index()]
     }
 
-    /// Writes a line to the operators' log.
+    /// Writes a line to the log.
     fn log(&mut self, text: String) {
         self.actions.push(Action::Log(text));
     }
 
-    /// Removes an open query by its id.
+    /// Removes the open query with this id and returns it.
     fn remove_query(&mut self, id: Id) -> Option<Query> {
         let number = self.queries.values().find(|query| query.id == id)?.number;
         self.queries.remove(&number)
--- a/src/front_node/outliers.rs
+++ b/src/front_node/outliers.rs
@@ -1,6 +1,6 @@
-//! Outlier detection: replicas far slower than their peers count as more loaded than they are.
+//! Outlier detection: replicas that are much slower than the others count as more loaded than they are.
 
-use super::tuning::{COUNTER_HALF_LIFE, EPSILON, LATENCY_RATIO_CAP, OUTLIER_RATIO, SLOW_RATIO};
+use super::tuning::{COUNTER_HALF_LIFE, EPSILON, MAX_LATENCY_RATIO, OUTLIER_RATIO, SLOW_RATIO};
 use super::FrontNode;
 use crate::interface::{Lifecycle, ReplicaId};
 use crate::numeric::SECOND;
@@ -12,30 +12,33 @@
 }
 
 impl FrontNode {
-    /// Sets each replica's load factor: its latency ratio over the median of all. This guards against
-    /// replicas that are slow, hang, stall or fall silent: the longer the oldest attempt waits while the
-    /// replica answers nothing, the more it counts for. Everything slow at once moves the median and makes
-    /// no outlier.
+    /// Updates latencies, rates and the load factor of each replica. Runs once per batch, after all its
+    /// events are applied.
     ///
-    /// Once a batch, after all its events.
-    pub(super) fn judge_replicas(&mut self) {
+    /// The load factor of a replica is its latency ratio divided by the median of all replicas. It directs
+    /// parts away from replicas that are slow, hang or do not respond: the longer the oldest attempt waits
+    /// while the replica answers nothing, the higher the factor. If all replicas are slow at once, the median
+    /// rises and none of them is an outlier.
+    pub(super) fn update_replica_health(&mut self) {
         self.update_latency_stats();
         self.update_mean_work_rate();
         let mut ratios = self.in_service_ratios();
-        self.forget_gone_replicas();
-        self.update_revisit_interval(ratios.len());
-        self.raise_ratios_of_silent_replicas(&mut ratios);
-        let median = median_from_one_up(&ratios);
+        self.prune_removed_replicas();
+        self.update_mean_call_interval(ratios.len());
+        self.raise_ratios_of_unresponsive_replicas(&mut ratios);
+        let median = median_ratio(&ratios);
         self.set_load_factors(&ratios, median);
     }
 
+    /// Updates the work that a replica of relative capacity 1 does on average.
     fn update_mean_work_rate(&mut self) {
         let in_service = self.replicas.values().filter(|replica| replica.in_service());
-        let size: f64 = in_service.map(|replica| replica.relative_capacity).sum();
-        self.mean_work_rate = self.answered_work.per_second(self.now, COUNTER_HALF_LIFE) / size.max(EPSILON);
+        let total_capacity: f64 = in_service.map(|replica| replica.relative_capacity).sum();
+        self.mean_work_rate =
+            self.answered_work.per_second(self.now, COUNTER_HALF_LIFE) / total_capacity.max(EPSILON);
     }
 
-    /// The ratios of the replicas in service, in the order of their ids.
+    /// Returns the latency ratios of the replicas in service, in ascending order of replica ids.
     fn in_service_ratios(&self) -> Vec<ReplicaRatio> {
         let in_service = self.replicas.iter().filter(|(_, replica)| replica.in_service());
         in_service
@@ -43,54 +46,60 @@
             .collect()
     }
 
-    /// Drops expired failures, and replicas that left once nothing of them counts: no attempt in flight, no
-    /// failure, no warming up.
-    fn forget_gone_replicas(&mut self) {
+    /// Drops expired failure penalties, and removed replicas that have no attempt in flight, no failure
+    /// penalty and no warm-up in progress.
+    fn prune_removed_replicas(&mut self) {
         let now = self.now;
         let warm_up_time = self.settings.rules.warm_up_time;
         self.replicas.retain(|_, replica| {
-            replica.failure_holds.retain(|until| *until > now);
+            replica.failure_penalty_ends.retain(|until| *until > now);
             let warming_up = replica.started_at.is_some_and(|started| now - started < warm_up_time);
             replica.lifecycle != Lifecycle::Removed
                 || replica.in_flight > 0
                 || warming_up
-                || !replica.failure_holds.is_empty()
+                || !replica.failure_penalty_ends.is_empty()
         });
     }
 
-    fn update_revisit_interval(&mut self, in_service: usize) {
-        let calls_per_second = self.calls.per_second(self.now, COUNTER_HALF_LIFE).max(EPSILON);
-        self.revisit_interval = SECOND.mul_f64(in_service as f64 / calls_per_second).min(COUNTER_HALF_LIFE);
+    fn update_mean_call_interval(&mut self, in_service: usize) {
+        let calls_per_second = self.calls_sent.per_second(self.now, COUNTER_HALF_LIFE).max(EPSILON);
+        self.mean_call_interval = SECOND.mul_f64(in_service as f64 / calls_per_second).min(COUNTER_HALF_LIFE);
     }
 
-    /// A replica that has answered nothing for longer than an attempt takes until it is overdue gets the
-    /// ratio of that silence.
-    fn raise_ratios_of_silent_replicas(&self, ratios: &mut [ReplicaRatio]) {
+    /// Raises the latency ratio of replicas that have answered nothing for too long.
+    ///
+    /// For each attempt in flight, the time is counted from its send or from the last answer of the replica,
+    /// whichever is later. If it exceeds the age at which the attempt is overdue, the ratio of the replica is
+    /// at least this time divided by the typical latency.
+    fn raise_ratios_of_unresponsive_replicas(&self, ratios: &mut [ReplicaRatio]) {
         for attempt in self.in_flight.values().filter(|attempt| !attempt.cancelled) {
             let last_answer_at = self.replicas[&attempt.replica].last_answer_at;
-            let silence = self.elapsed_without_silence(attempt.sent_at.max(last_answer_at));
-            let Ok(place) = ratios.binary_search_by_key(&attempt.replica, |entry| entry.replica) else {
+            let unanswered = self.elapsed_excluding_stall(attempt.sent_at.max(last_answer_at));
+            let Ok(index) = ratios.binary_search_by_key(&attempt.replica, |entry| entry.replica) else {
                 continue;
             };
-            if silence > self.overdue_after(attempt.class_step) {
-                let ratio = silence.ratio_to(self.typical_latency(attempt.class_step)).min(LATENCY_RATIO_CAP);
-                ratios[place].ratio = ratios[place].ratio.max(ratio);
+            if unanswered > self.overdue_after(attempt.class_step) {
+                let ratio =
+                    unanswered.ratio_to(self.typical_latency(attempt.class_step)).min(MAX_LATENCY_RATIO);
+                ratios[index].ratio = ratios[index].ratio.max(ratio);
             }
         }
     }
 
-    /// `ratios` are those of the replicas in service, in the order of their ids.
+    /// Sets the load factors of the replicas in service and logs which ones become or are no longer outliers.
+    ///
+    /// `ratios` holds the ratios of the replicas in service, in ascending order of replica ids.
     fn set_load_factors(&mut self, ratios: &[ReplicaRatio], median: f64) {
         let mut logs = Vec::new();
         let in_service = self.replicas.values_mut().filter(|replica| replica.in_service());
         for (replica, entry) in in_service.zip(ratios) {
             let ratio = entry.ratio / median;
             replica.load_factor = if ratio < SLOW_RATIO { 1.0 } else { ratio };
-            // Two thresholds, so that a ratio near one of them doesn't log over and over.
-            let threshold = if replica.outlier { SLOW_RATIO } else { OUTLIER_RATIO };
+            // Hysteresis: a ratio that stays near one threshold does not cause repeated log lines.
+            let threshold = if replica.is_outlier { SLOW_RATIO } else { OUTLIER_RATIO };
             let outlier = ratio >= threshold;
-            if outlier != replica.outlier {
-                replica.outlier = outlier;
+            if outlier != replica.is_outlier {
+                replica.is_outlier = outlier;
                 let state = if outlier { "marked as outlier" } else { "no longer an outlier" };
                 logs.push(format!("replica {} {state}, latency {ratio:.1} times its peers", entry.replica));
             }
@@ -99,8 +108,8 @@
     }
 }
 
-/// The median ratio, but no less than 1, which it also is without any replica.
-fn median_from_one_up(ratios: &[ReplicaRatio]) -> f64 {
+/// Returns the median of the ratios, or 1 if the median is below that or there are no ratios.
+fn median_ratio(ratios: &[ReplicaRatio]) -> f64 {
     let mut sorted: Vec<f64> = ratios.iter().map(|entry| entry.ratio).collect();
     if sorted.is_empty() {
         return 1.0;
--- a/src/front_node/retry.rs
+++ b/src/front_node/retry.rs
@@ -1,19 +1,22 @@
-//! Retries: the checks that every send passes, the attempt cap, idempotency windows and the retry budget.
+//! Checks before each send: the maximum number of attempts, idempotency, retry limits and the replica's
+//! state.
 
-use super::tuning::{COUNTER_HALF_LIFE, RETRY_FLOOR, RETRY_SHARE};
+use super::tuning::{COUNTER_HALF_LIFE, MAX_RETRY_SHARE, MIN_RETRIES};
 use super::FrontNode;
 use crate::interface::{Class, Idempotency, Micros, ReplicaId};
 use crate::state::{ClassStep, Part, Query, Replica};
 
 impl FrontNode {
-    /// The check that every send passes: attempt cap, retries, the replica's lifecycle and slow start.
+    /// Returns whether a part may be sent to a replica. Every attempt has to pass this check.
     pub(super) fn may_send(&self, query: &Query, part: &Part, id: ReplicaId) -> bool {
         let replica = self.replicas.get(&id);
-        replica.is_some_and(|replica| self.may_try(query, part) && self.may_take(query, part, id, replica))
+        replica.is_some_and(|replica| {
+            self.may_send_part(query, part) && self.replica_may_take(query, part, id, replica)
+        })
     }
 
-    /// Whether a part may get one more attempt, at any replica.
-    pub(super) fn may_try(&self, query: &Query, part: &Part) -> bool {
+    /// Returns whether a part may get a further attempt at some replica.
+    pub(super) fn may_send_part(&self, query: &Query, part: &Part) -> bool {
         if part.answered || part.attempts.len() as u32 >= self.settings.limits.max_attempts {
             return false;
         }
@@ -21,27 +24,36 @@
             return true;
         }
         let needs_hedging = part.has_attempt_in_flight();
-        self.effect_allows_retry(query, part)
-            && !self.in_retry_storm()
+        self.idempotency_allows_retry(query, part)
+            && !self.exceeds_retry_share()
             && (!needs_hedging || self.settings.limits.allow_hedging)
             && self.within_retry_budget()
     }
 
-    /// Whether a replica may get an attempt of a part: it is in service, within what it can do while warming
-    /// up, and no attempt of the part is in flight there or was sent there just now.
-    pub(super) fn may_take(&self, query: &Query, part: &Part, id: ReplicaId, replica: &Replica) -> bool {
+    /// Returns whether a replica may get an attempt of a part.
+    ///
+    /// The replica has to be in service, the part has to fit into its slow start, and no attempt of the part
+    /// may be in flight at the replica or have been sent there recently.
+    pub(super) fn replica_may_take(
+        &self,
+        query: &Query,
+        part: &Part,
+        id: ReplicaId,
+        replica: &Replica,
+    ) -> bool {
         replica.in_service()
             && self.within_slow_start(replica, query.class_step())
-            && !self.sent_there_lately(query, part, id)
+            && !self.was_sent_there_recently(query, part, id)
     }
 
-    fn sent_there_lately(&self, query: &Query, part: &Part, id: ReplicaId) -> bool {
-        let since = self.now - self.typical_latency(ClassStep::first(query.class));
+    fn was_sent_there_recently(&self, query: &Query, part: &Part, id: ReplicaId) -> bool {
+        let recent_from = self.now - self.typical_latency(ClassStep::first(query.class));
         let mut attempts = part.attempts.iter().filter(|attempt| attempt.replica == id);
-        attempts.any(|attempt| attempt.in_flight || attempt.sent_at > since)
+        attempts.any(|attempt| attempt.in_flight || attempt.sent_at > recent_from)
     }
 
-    fn effect_allows_retry(&self, query: &Query, part: &Part) -> bool {
+    /// Returns whether the idempotency of the query's class allows a further attempt of a part.
+    fn idempotency_allows_retry(&self, query: &Query, part: &Part) -> bool {
         let class = &self.settings.classes[query.class];
         match class.idempotency {
             Idempotency::Idempotent => true,
@@ -53,9 +65,11 @@
         }
     }
 
-    /// How long a duplicate of the part is still dropped, where the class is keyed and an attempt may have
-    /// run: counted from the send of the first such attempt, less what a retry may wait at the replica
-    /// before it runs itself.
+    /// Returns for how long a retry of the part may still be sent so that replicas drop it as a duplicate.
+    ///
+    /// The idempotency window begins with the send of the first attempt that may have run. The time that a
+    /// retry may wait at the replica before it runs is deducted. The result is `None` if the class has no
+    /// idempotency keys or no attempt may have run, as there is no such limit then.
     pub(super) fn idempotency_time_left(
         &self,
         class: &Class,
@@ -70,19 +84,22 @@
         Some(first.sent_at + class.idempotency_window - self.settings.tick - wait - self.now)
     }
 
-    /// Whether one more retry would pass the share of parts above which retries feed an overload.
-    fn in_retry_storm(&self) -> bool {
-        let most = RETRY_FLOOR + RETRY_SHARE * self.sent.read(self.now, COUNTER_HALF_LIFE);
-        self.retries.read(self.now, COUNTER_HALF_LIFE) + 1.0 > most
+    /// Returns whether a further retry would exceed the share of attempts above which retries amplify an
+    /// overload.
+    fn exceeds_retry_share(&self) -> bool {
+        let most = MIN_RETRIES + MAX_RETRY_SHARE * self.attempts_sent.read(self.now, COUNTER_HALF_LIFE);
+        self.retries_sent.read(self.now, COUNTER_HALF_LIFE) + 1.0 > most
     }
 
-    /// Whether one more retry stays within the deployment's retry budget. The bounds lean to the careful
-    /// side by a tick at either end of the window.
+    /// Returns whether a further retry stays within the retry budget of the service.
+    ///
+    /// To be on the safe side, retries are counted over a window that is one tick longer, and received
+    /// queries and parts over one that is one tick shorter.
     fn within_retry_budget(&self) -> bool {
         let Some(budget) = self.settings.rules.retry_budget else { return true };
         let since = self.now - budget.window;
-        let used = self.retry_window.sum_since(since - self.settings.tick);
+        let retries = self.retry_window.sum_since(since - self.settings.tick);
         let received = self.received_window.sum_since(since + self.settings.tick + Micros(1));
-        used + 1.0 <= budget.min_retries + budget.retry_ratio * received
+        retries + 1.0 <= budget.min_retries + budget.retry_ratio * received
     }
 }
--- a/src/front_node/tuning.rs
+++ b/src/front_node/tuning.rs
@@ -1,129 +1,146 @@
-//! Tuned values of the decisions. None comes from a deployment: each is a ratio of observed values, or a
-//! time span against which ratios settle. docs/design.md says how sensitive results are to each.
+//! Tuned constants of the decisions.
+//!
+//! None of them depends on a deployment: each is a ratio of observed values, or a time span against which
+//! such ratios settle. docs/design.md states how sensitive the results are to each.
 
 use crate::interface::Micros;
 
-/// How often open queries are looked at while no event comes.
-pub(super) const IDLE_WAKE: Micros = Micros(20_000);
-/// Half-life of the counters of parts, extra parts, retries, calls, answered work and tenants' queries.
+/// Interval at which open queries are processed while no events arrive.
+pub(super) const IDLE_TIMER_INTERVAL: Micros = Micros(20_000);
+/// Half-life of the counters of attempts, extra parts, retries, calls, answered work and tenants' queries.
 pub(super) const COUNTER_HALF_LIFE: Micros = Micros(10_000_000);
 
-/// Extra parts stay under this share of the parts sent.
-pub(super) const EXTRA_PART_SHARE: f64 = 0.1;
-/// Retries stay under this share of the parts sent ...
-pub(super) const RETRY_SHARE: f64 = 0.15;
-/// ... plus this many, so that a retry storm cannot start.
-pub(super) const RETRY_FLOOR: f64 = 6.0;
+/// Maximum number of extra parts, as a share of the attempts sent.
+pub(super) const MAX_EXTRA_PART_SHARE: f64 = 0.1;
+/// Maximum number of retries, as a share of the attempts sent. `MIN_RETRIES` is added to it. The limit keeps
+/// retries from amplifying an overload (a retry storm).
+pub(super) const MAX_RETRY_SHARE: f64 = 0.15;
+/// Number of retries that are allowed in addition to `MAX_RETRY_SHARE`.
+pub(super) const MIN_RETRIES: f64 = 6.0;
 
-/// First wait before the endpoint list is polled again after a failure.
+/// Wait before the endpoint list is polled again after a first failure.
 pub(super) const INITIAL_POLL_BACKOFF: Micros = Micros(200_000);
-/// A change of the endpoint list counts as notified after this (protocol page).
-pub(super) const NOTIFIED_AFTER: Micros = Micros(6_000_000);
-/// The backoff grows by this factor with each failure.
+/// Age after which a change of the endpoint list is treated as known to the front node, according to the
+/// protocol documentation.
+pub(super) const LIST_STALENESS_LIMIT: Micros = Micros(6_000_000);
+/// Factor by which the poll backoff grows with each failure.
 pub(super) const POLL_BACKOFF_GROWTH: f64 = 2.0;
-/// Longest poll backoff, as a share of the time after which changes count as notified.
+/// Maximum poll backoff, as a share of the time after which a change is treated as known to the front node.
+/// Three polls fit into that time.
 pub(super) const MAX_POLL_BACKOFF_SHARE: f64 = 0.2;
-/// A poll without an answer is repeated after this share of the time within which the list must be polled.
+/// Time after which an unanswered poll is repeated, as a share of `Rules::max_list_staleness`.
 pub(super) const POLL_TIMEOUT_SHARE: f64 = 0.5;
-/// Where no time is stated within which the list must be polled, it is this multiple of the first backoff.
-pub(super) const DEFAULT_POLL_WITHIN_MULTIPLE: f64 = 20.0;
-/// First polls of front nodes that start together are spread over this multiple of the first backoff each ...
+/// Default of `Rules::max_list_staleness` and its lower bound, as a multiple of `INITIAL_POLL_BACKOFF`.
+pub(super) const DEFAULT_STALENESS_MULTIPLE: f64 = 20.0;
+/// Interval over which front nodes that start together spread their first polls, as a multiple of
+/// `INITIAL_POLL_BACKOFF` and of the number of front nodes.
 pub(super) const FIRST_POLL_SPREAD: f64 = 0.25;
-/// ... but at most over this share of the time within which the list must be polled.
+/// Upper bound of the interval set by `FIRST_POLL_SPREAD`, as a share of `Rules::max_list_staleness`.
 pub(super) const MAX_FIRST_POLL_SHARE: f64 = 0.25;
 
-/// Latency samples kept for each class and step, and priorities kept of the latest queries.
+/// Number of latency samples kept for each class and step, and of recent queries whose priority is kept.
 pub(super) const MAX_SAMPLES: usize = 64;
-/// With fewer samples a quantile is unknown.
+/// Minimum number of samples from which quantiles are computed.
 pub(super) const MIN_SAMPLES: usize = 8;
-/// While no latency is known, the typical one is this share of the latency objective.
+/// Typical latency that is assumed as long as none has been observed, as a share of the latency objective.
 pub(super) const INITIAL_LATENCY_SHARE: f64 = 0.125;
 
-/// An attempt is never overdue before this multiple of the typical latency ...
-pub(super) const OVERDUE_MULTIPLE: f64 = 4.0;
-/// ... nor is it in time after this share of the latency objective (half of it where there are two steps).
-pub(super) const OVERDUE_SHARE: f64 = 0.5;
-/// Between these two an attempt is overdue after this multiple of the 95th percentile.
+/// Minimum age at which an attempt is overdue, as a multiple of the typical latency.
+pub(super) const MIN_OVERDUE_MULTIPLE: f64 = 4.0;
+/// Maximum age at which an attempt is overdue, as a share of the latency objective. Halved for classes with
+/// two steps.
+pub(super) const MAX_OVERDUE_SHARE: f64 = 0.5;
+/// Age at which an attempt is overdue, as a multiple of the 95th percentile of latencies, within the bounds
+/// of `MIN_OVERDUE_MULTIPLE` and `MAX_OVERDUE_SHARE`.
 pub(super) const OVERDUE_P95_MULTIPLE: f64 = 1.1;
-/// Where attempts can't be hedged or cancelled, they time out after this multiple of the overdue time.
+/// Timeout of attempts that can't be both hedged and cancelled, as a multiple of the age at which they are
+/// overdue.
 pub(super) const TIMEOUT_MULTIPLE: f64 = 2.0;
 
-/// No response of any replica for this multiple of the typical latency is a silence.
-pub(super) const SILENCE_MULTIPLE: f64 = 2.0;
-/// After a silence or a standstill, what piled up is read this long before anything is sent.
-pub(super) const SETTLE_DELAY: Micros = Micros(10_000);
-/// In a silence a new query waits for this share of the age past which a hedged request would be too late.
-pub(super) const MAX_SETTLE_SHARE: f64 = 0.5;
+/// Time without any response or external event that counts as a stall, as a multiple of the typical latency.
+pub(super) const STALL_MULTIPLE: f64 = 2.0;
+/// Time after a stall during which pending events are read before anything is sent.
+pub(super) const RESUME_DELAY: Micros = Micros(10_000);
+/// Maximum time that a new query waits in a stall of all replicas, as a share of the age after which a hedged
+/// request would be too late.
+pub(super) const MAX_STALL_WAIT_SHARE: f64 = 0.5;
 
-/// A replica this many times slower than the median of its peers counts as more loaded than it is.
+/// Latency ratio, relative to the median of all replicas, from which a replica counts as more loaded than it
+/// is.
 pub(super) const SLOW_RATIO: f64 = 2.0;
-/// A replica this many times slower than the median of its peers is an outlier: a last choice, and logged.
+/// Latency ratio, relative to the median of all replicas, from which a replica is an outlier. Outliers are
+/// logged and get parts as a last choice only.
 pub(super) const OUTLIER_RATIO: f64 = 4.0;
-/// Upper bound of a replica's latency ratio.
-pub(super) const LATENCY_RATIO_CAP: f64 = 40.0;
-/// Weight of one answer in the moving average of a replica's latency ratio.
-pub(super) const LATENCY_RATIO_GAIN: f64 = 0.2;
-/// With no new answer, a latency ratio decays towards 1 with this half-life.
+/// Upper bound of the latency ratio of a replica.
+pub(super) const MAX_LATENCY_RATIO: f64 = 40.0;
+/// Weight of one answer in the moving average that is the latency ratio of a replica.
+pub(super) const LATENCY_RATIO_SMOOTHING: f64 = 0.2;
+/// Half-life with which a latency ratio decays to 1 while no answers arrive.
 pub(super) const LATENCY_RATIO_HALF_LIFE: Micros = Micros(4_000_000);
-/// A failed attempt counts as one in flight for this long.
-pub(super) const FAILURE_HOLD: Micros = Micros(1_500_000);
-/// Each failure that still counts lengthens the hold of the next one by this share ...
-pub(super) const FAILURE_HOLD_GROWTH: f64 = 0.5;
-/// ... up to this many of them.
-pub(super) const FAILURE_HOLD_STEPS: usize = 4;
+/// Time for which a failed attempt counts as one in flight.
+pub(super) const FAILURE_PENALTY_TIME: Micros = Micros(1_500_000);
+/// Share by which `FAILURE_PENALTY_TIME` is extended for each earlier failure that still counts.
+pub(super) const FAILURE_PENALTY_GROWTH: f64 = 0.5;
+/// Maximum number of earlier failures that extend `FAILURE_PENALTY_TIME`.
+pub(super) const MAX_FAILURE_PENALTY_STEPS: usize = 4;
 
-/// The part of our share of a warming-up replica's capacity that is used.
-pub(super) const SLOW_START_MARGIN: f64 = 0.7;
-/// Least share of its capacity that a warming-up replica is taken to have.
-pub(super) const MIN_WARMTH: f64 = 0.01;
+/// Share that is used of the capacity of a warming-up replica that falls to this front node.
+pub(super) const SLOW_START_SAFETY_FACTOR: f64 = 0.7;
+/// Lower bound of the share of its capacity that a warming-up replica is assumed to have.
+pub(super) const MIN_CAPACITY_SHARE: f64 = 0.01;
 
-/// Load shedding starts when parts take this share of the latency objective ...
-pub(super) const SHED_FROM_STRAIN: f64 = 0.6;
-/// ... and ends below this one.
-pub(super) const SHED_UNTIL_STRAIN: f64 = 0.4;
-/// Latency samples older than this say nothing of the strain ...
+/// Strain above which load shedding starts. The strain is, roughly, the recent latency of parts as a share of
+/// the latency objective.
+pub(super) const SHED_START_STRAIN: f64 = 0.6;
+/// Strain below which load shedding ends.
+pub(super) const SHED_STOP_STRAIN: f64 = 0.4;
+/// Age up to which latency samples are used for the strain.
 pub(super) const STRAIN_WINDOW: Micros = Micros(1_500_000);
-/// ... except the latest so many: the parts of a single query are no evidence.
-pub(super) const STRAIN_SAMPLES: usize = 24;
-/// Being near `max_in_flight` raises the strain to this multiple of what latencies show at most.
-pub(super) const FULLNESS_CAP: f64 = 2.0;
-/// Half-life of the rate of answers by which the limits on parts in flight are set.
+/// Number of latest latency samples that are used for the strain at any age. The parts of a single query
+/// alone would be too few to rely on.
+pub(super) const MIN_STRAIN_SAMPLES: usize = 24;
+/// Maximum factor by which being close to `Limits::max_in_flight` raises the strain that latencies show.
+pub(super) const OCCUPANCY_STRAIN_CAP: f64 = 2.0;
+/// Half-life of the counters of answers from which limits on parts in flight are derived.
 pub(super) const CONCURRENCY_HALF_LIFE: Micros = Micros(1_000_000);
-/// Share of the latency objective that parts may take on average under strain.
-pub(super) const IN_FLIGHT_SHARE: f64 = 0.6;
-/// Parts in flight for each replica, of all front nodes together, that are always allowed.
-pub(super) const MIN_IN_FLIGHT: f64 = 10.0;
-/// Parts in flight at one replica that admission always allows ...
-pub(super) const MIN_CAPACITY: f64 = 8.0;
-/// ... or fewer, where all front nodes together would make more than this of them ...
-pub(super) const FLEET_CAPACITY: f64 = 40.0;
-/// ... but never fewer than this.
-pub(super) const LEAST_CAPACITY: f64 = 2.0;
-/// Weight of a failure against a part in flight, when a replica's free capacity is judged ...
-pub(super) const FAILED_WEIGHT: f64 = 2.0;
-/// ... and of a failure that an answer of the same replica has followed.
-pub(super) const ANSWERED_FAILED_WEIGHT: f64 = 0.5;
-/// This many short tries in a row are not taken for retries, where clients do not mark those.
-pub(super) const UNMARKED_RETRIES: u32 = 16;
-/// A try that is given this share of the longest one is not short.
+/// Average latency of parts that limits on parts in flight aim for, as a share of the latency objective.
+pub(super) const TARGET_LATENCY_SHARE: f64 = 0.6;
+/// Number of parts in flight that load shedding always allows per replica, over all front nodes.
+pub(super) const MIN_IN_FLIGHT_PER_REPLICA: f64 = 10.0;
+/// Upper bound of the number of parts in flight that admission always allows at one replica.
+pub(super) const MAX_BASE_CAPACITY: f64 = 8.0;
+/// Number of parts in flight that admission always allows at one replica, over all front nodes. Each front
+/// node allows its share, within `MIN_BASE_CAPACITY` and `MAX_BASE_CAPACITY`.
+pub(super) const FLEET_BASE_CAPACITY: f64 = 40.0;
+/// Lower bound of the number of parts in flight that admission always allows at one replica.
+pub(super) const MIN_BASE_CAPACITY: f64 = 2.0;
+/// Number of parts in flight that a recent failure counts as when the free capacity of a replica is computed.
+pub(super) const FAILURE_WEIGHT: f64 = 2.0;
+/// Number of parts in flight that a recent failure counts as if the replica has answered an attempt since.
+pub(super) const RECOVERED_FAILURE_WEIGHT: f64 = 0.5;
+/// Number of consecutive short tries from which they no longer count as retries, if clients do not mark
+/// retries.
+pub(super) const MAX_CONSECUTIVE_SHORT_TRIES: u32 = 16;
+/// Share of the time of the longest try above which a try does not count as short.
 pub(super) const FULL_TRY_SHARE: f64 = 0.99;
-/// A tenant beyond this multiple of our share of its quota is over it.
+/// Multiple of this front node's share of a quota above which the tenant is over its quota.
 pub(super) const OVER_QUOTA_RATIO: f64 = 1.3;
-/// A query takes at least this multiple of the typical latency of a part ...
-pub(super) const MIN_QUERY_TIME: f64 = 2.0;
-/// ... of which at most this share of its latency objective is counted.
+/// Time that a query is assumed to need at least, as a multiple of the typical latency of a part.
+pub(super) const MIN_QUERY_TIME_MULTIPLE: f64 = 2.0;
+/// Upper bound of the time that a query is assumed to need at least, as a share of the latency objective.
 pub(super) const MIN_QUERY_TIME_SHARE: f64 = 0.5;
-/// The part of the in-flight limit that the query of lowest priority may not use.
-pub(super) const PRIORITY_TILT: f64 = 0.4;
+/// Share of the in-flight limit that is not available to queries of the lowest priority.
+pub(super) const PRIORITY_RESERVED_SHARE: f64 = 0.4;
 
-/// A query is given up once this many replicas dropped it with nothing answered (a query of death).
-pub(super) const QUERY_OF_DEATH_DROPS: usize = 2;
-/// For this long after a replica crashed, wide queries send one part ahead.
-pub(super) const CRASH_CAUTION: Micros = Micros(5_000_000);
-/// A query with parts for more than this share of the replicas is wide.
+/// Number of replicas that have to reset the connection of a query without answering any part of it for the
+/// query to be given up as a query of death.
+pub(super) const QUERY_OF_DEATH_RESETS: usize = 2;
+/// Time after the crash of a replica during which wide queries send one part ahead of the others.
+pub(super) const RECENT_CRASH_WINDOW: Micros = Micros(5_000_000);
+/// Number of parts above which a query is wide, as a share of the number of replicas.
 pub(super) const WIDE_QUERY_SHARE: f64 = 0.33;
 
-/// Queries are given up this many ticks before their time ends.
-pub(super) const STOP_MARGIN_TICKS: f64 = 2.0;
-/// Sums of weights may be short by this through rounding.
+/// Number of ticks before the end of its time at which a query is given up.
+pub(super) const GIVE_UP_MARGIN_TICKS: f64 = 2.0;
+/// Tolerance for rounding errors in sums of weights. Also the lower bound of divisors that may be zero.
 pub(super) const EPSILON: f64 = 0.0001;
--- a/src/state/endpoint_watch.rs
+++ b/src/state/endpoint_watch.rs
@@ -2,15 +2,15 @@
 
 use crate::interface::Micros;
 
-/// State of the watch on the endpoint list, for deployments where the list must be polled for.
+/// State of the watch on the endpoint list. Used only if the list has to be polled.
 #[derive(Default)]
 pub(crate) struct EndpointWatch {
-    /// When the list was requested, if a watch may stand since.
+    /// When the list was last requested with a watch; `None` before the first request and after a failure.
     pub(crate) requested_at: Option<Micros>,
-    /// The watch has delivered a list or a change since it was requested.
+    /// Whether the watch has delivered a list or a change since it was requested.
     pub(crate) confirmed: bool,
-    /// No request is made before this.
+    /// Earliest time of the next request.
     pub(crate) next_poll_at: Micros,
-    /// Wait before the request after the next failure.
+    /// Wait before the next request if the watch fails again.
     pub(crate) backoff: Micros,
 }
--- a/src/state/latency.rs
+++ b/src/state/latency.rs
@@ -1,56 +1,56 @@
-//! Observed latencies, by class and step.
+//! Observed latencies of attempts, by class and step.
 
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// Steps of a query of any class at most; [`ClassStep::index`] counts with it.
-const STEPS: usize = 2;
+/// Maximum number of steps of a query.
+const MAX_STEPS: usize = 2;
 
-/// A class and a step of its queries: the key by which latencies are kept.
+/// A class and a step of its queries. Latencies are tracked separately for each `ClassStep`.
 #[derive(Clone, Copy)]
 pub(crate) struct ClassStep {
-    /// The class's number in the settings.
+    /// Index of the class in the settings.
     pub(crate) class: usize,
-    /// The step, 1 or 2.
+    /// Number of the step, 1 or 2.
     pub(crate) step: u8,
 }
 
 impl ClassStep {
-    /// The first step of a class.
+    /// Returns the first step of a class.
     pub(crate) fn first(class: usize) -> ClassStep {
         ClassStep { class, step: 1 }
     }
 
-    /// The second step of a class.
+    /// Returns the second step of a class.
     pub(crate) fn second(class: usize) -> ClassStep {
         ClassStep { class, step: 2 }
     }
 
-    /// The place in a list by class and step.
+    /// Returns the index of this class and step in a list that has an entry for each.
     pub(crate) fn index(self) -> usize {
-        self.class * STEPS + usize::from(self.step - 1)
+        self.class * MAX_STEPS + usize::from(self.step - 1)
     }
 
-    /// The length of a list by class and step.
+    /// Returns the length of a list with an entry for each class and step.
     pub(crate) fn count(classes: usize) -> usize {
-        classes * STEPS
+        classes * MAX_STEPS
     }
 }
 
 /// The latency of one answered attempt.
 pub(crate) struct LatencySample {
-    /// When the answer came.
+    /// When the answer arrived.
     pub(crate) at: Micros,
-    /// Time from the send to the answer.
+    /// Time from the send of the attempt to its answer.
     pub(crate) latency: Micros,
 }
 
-/// Latencies of one class and step. The quantiles are `None` while there are too few samples.
+/// Latencies of one class and step. The quantiles are `None` as long as there are too few samples.
 #[derive(Default)]
 pub(crate) struct LatencyStats {
     /// The latest samples, oldest first.
     pub(crate) samples: VecDeque<LatencySample>,
-    /// The 25th percentile: what a part costs a replica that is not crowded.
+    /// The 25th percentile, an estimate of the work of a part: its latency at a replica without a queue.
     pub(crate) p25: Option<Micros>,
     /// The median.
     pub(crate) p50: Option<Micros>,
@@ -60,11 +60,13 @@
     pub(crate) recent_p80: Option<Micros>,
 }
 
-/// A time span in which no replica responded although most owed an answer. Empty before the first one.
+/// An interval in which no replica responded although most of them had attempts in flight.
+///
+/// Both times are zero as long as no such interval has been observed.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Silence {
-    /// When it began.
+pub(crate) struct GlobalStall {
+    /// When the stall began.
     pub(crate) from: Micros,
-    /// The latest moment at which it was observed.
-    pub(crate) until: Micros,
+    /// Latest time at which the stall was observed.
+    pub(crate) observed_until: Micros,
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the front node remembers: data types only, no decision and no tuned value.
+//! State of a front node: data types only, without decisions or tuned values.
 
 mod endpoint_watch;
 mod latency;
@@ -6,6 +6,6 @@
 mod replica;
 
 pub(crate) use endpoint_watch::EndpointWatch;
-pub(crate) use latency::{ClassStep, LatencySample, LatencyStats, Silence};
+pub(crate) use latency::{ClassStep, GlobalStall, LatencySample, LatencyStats};
 pub(crate) use query::{Attempt, ClientTries, Part, Query};
 pub(crate) use replica::{AttemptId, BatchedCall, InFlightAttempt, Replica};
--- a/src/state/query.rs
+++ b/src/state/query.rs
@@ -1,29 +1,29 @@
-//! Queries, their parts and the attempts of these.
+//! Queries, their parts, and the attempts of parts.
 
 use super::ClassStep;
 use crate::interface::{Id, Micros, ReplicaId};
 
-/// One attempt of a part, as its query remembers it.
+/// An attempt of a part, as recorded in its query.
 pub(crate) struct Attempt {
-    /// The replica it was sent to.
+    /// The replica that the attempt was sent to.
     pub(crate) replica: ReplicaId,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) sent_at: Micros,
-    /// It has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub(crate) in_flight: bool,
-    /// It has ended and is known not to have run.
+    /// Whether the attempt has ended with an outcome that proves that it did not run.
     pub(crate) never_ran: bool,
-    /// It ended because its connection was reset.
+    /// Whether the attempt ended because its connection was reset.
     pub(crate) reset: bool,
 }
 
 impl Attempt {
-    /// An attempt sent now.
+    /// Creates an attempt that is sent now.
     pub(crate) fn sent(replica: ReplicaId, now: Micros) -> Attempt {
         Attempt { replica, sent_at: now, in_flight: true, never_ran: false, reset: false }
     }
 
-    /// Whether it has run, or may have run or run yet.
+    /// Returns whether the attempt may have run or may still run.
     pub(crate) fn may_have_run(&self) -> bool {
         self.in_flight || !self.never_ran
     }
@@ -32,88 +32,88 @@
 /// A part of a query.
 #[derive(Default)]
 pub(crate) struct Part {
-    /// Its id.
+    /// Id of the part.
     pub(crate) id: Id,
-    /// Its shard.
+    /// The shard that has to answer the part.
     pub(crate) shard: u32,
-    /// Its weight in its step.
+    /// Weight of the part; the weights of a step add up to 1.
     pub(crate) weight: f64,
-    /// The step it belongs to, 1 or 2.
+    /// Number of the step that the part belongs to, 1 or 2.
     pub(crate) step: u8,
-    /// An answer to it is in.
+    /// Whether an attempt has answered the part.
     pub(crate) answered: bool,
-    /// Its attempts, by their number.
+    /// All attempts of the part. The index of an attempt is its number.
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl Part {
-    /// Whether an attempt of it has not ended yet.
+    /// Returns whether any attempt of the part has not ended yet.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 }
 
-/// A query that has no final answer yet.
+/// An open query: one without a final answer.
 #[derive(Default)]
 pub(crate) struct Query {
-    /// Its id.
+    /// Id of the query.
     pub(crate) id: Id,
-    /// Its number, by which queries are kept.
+    /// Sequence number of the query, the key of the table of open queries.
     pub(crate) number: u64,
-    /// Its class's number in the settings.
+    /// Index of the class in the settings.
     pub(crate) class: usize,
-    /// Its tenant's number in the settings, if it has one.
+    /// Index of the tenant in the settings, if the query has one.
     pub(crate) tenant: Option<usize>,
-    /// When it arrived.
+    /// When the query arrived.
     pub(crate) arrived_at: Micros,
-    /// When its latency objective passes.
+    /// When the latency objective expires.
     pub(crate) objective_at: Micros,
-    /// When the client abandons this try.
+    /// When the client abandons this try of the query.
     pub(crate) deadline_at: Micros,
-    /// Marked by its client as a retry.
+    /// Whether the client marked this try as a retry.
     pub(crate) marked_retry: bool,
-    /// It has passed admission.
+    /// Whether the query has passed admission.
     pub(crate) admitted: bool,
-    /// Whether to send an extra part has been decided, at its first dispatch.
+    /// Whether the query has been dispatched once. An extra part is sent at the first dispatch or not at all.
     pub(crate) extra_part_decided: bool,
-    /// The present step, from 1.
+    /// Number of the current step, from 1.
     pub(crate) step: u8,
-    /// Its parts, those of earlier steps included.
+    /// The parts of the current step and of earlier ones.
     pub(crate) parts: Vec<Part>,
 }
 
 impl Query {
-    /// Its class and present step.
+    /// Returns the class and the current step.
     pub(crate) fn class_step(&self) -> ClassStep {
         ClassStep { class: self.class, step: self.step }
     }
 
-    /// The parts of its present step.
+    /// Returns the parts of the current step.
     pub(crate) fn step_parts(&self) -> impl Iterator<Item = &Part> + Clone {
         self.parts.iter().filter(|part| part.step == self.step)
     }
 
-    /// The attempts of all its parts.
+    /// Returns the attempts of all parts, those of earlier steps included.
     pub(crate) fn attempts(&self) -> impl Iterator<Item = &Attempt> + Clone {
         self.parts.iter().flat_map(|part| &part.attempts)
     }
 
-    /// The weight of the parts of its present step that are answered.
+    /// Returns the total weight of the answered parts of the current step.
     pub(crate) fn answered_weight(&self) -> f64 {
         self.step_parts().filter(|part| part.answered).map(|part| part.weight).sum()
     }
 
-    /// Whether none of its attempts, if any, has run or may still run.
-    pub(crate) fn surely_never_ran(&self) -> bool {
+    /// Returns whether it is certain that no attempt of the query has run or will run.
+    pub(crate) fn provably_never_ran(&self) -> bool {
         self.attempts().all(|attempt| !attempt.may_have_run())
     }
 }
 
-/// What is known of the times that the clients of one class allow their tries.
+/// The time that clients of one class allow for each try of a query.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ClientTries {
-    /// The longest time that any try was given.
+    /// The longest time that any try has been given.
     pub(crate) longest: Micros,
-    /// Tries in a row that were given less, up to the latest one.
+    /// Number of consecutive tries, up to the latest one, that were given less than that.
     pub(crate) consecutive_short: u32,
 }
