--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,17 @@
-//! A simulated world around one front node: settings to start from, a clock, and a record of its actions.
+//! Test harness around the decision core of one front node: base settings, a clock, and the attempts in
+//! flight.
 #![allow(dead_code)]
 
 use pinetrestle::interface::*;
 use pinetrestle::FrontNode;
 use std::collections::BTreeMap;
 
-/// Milliseconds.
-pub fn ms(span: i64) -> Micros {
-    Micros(span * 1000)
+/// Returns a duration or a point in time given in milliseconds.
+pub fn ms(milliseconds: i64) -> Micros {
+    Micros(milliseconds * 1000)
 }
 
-/// A class that needs the given share of its parts.
+/// Returns a class whose answers are complete from the given share of the weight.
 pub fn class(complete_share: f64) -> Class {
     Class {
         latency_objective: ms(1000),
@@ -27,8 +28,9 @@
     }
 }
 
-/// Four cells, each shard on two of them, two classes: 0 needs every part, 1 any three of four.
-pub fn settings() -> Settings {
+/// Returns settings with four cells, of which two hold each shard, and two classes: class 0 needs all parts,
+/// class 1 any three of four.
+pub fn base_settings() -> Settings {
     Settings {
         fleet_size: 2,
         classes: vec![class(1.0), class(0.75)],
@@ -60,52 +62,56 @@
     }
 }
 
-/// Settings with a class for each effect, n-of-k classes, a second step, a retry budget and a list that is polled.
+/// Returns settings with classes of each kind of idempotency, classes that need n of k parts, one with a
+/// second step, a retry budget and a polled endpoint list.
 pub fn varied_settings() -> Settings {
-    let mut set = settings();
-    set.classes = vec![class(1.0), class(0.75), class(1.0), class(0.6), class(1.0)];
-    set.classes[1].partial_min_share = 0.5;
-    set.classes[2].idempotency = Idempotency::Keyed;
-    set.classes[3].idempotency = Idempotency::NonIdempotent;
-    set.classes[3].late_weight_share = 0.0;
-    set.classes[4].second_step_parts = 2;
-    set.rules.retry_budget = Some(RetryBudget { window: ms(2000), min_retries: 5.0, retry_ratio: 0.1 });
-    set.poll_endpoint_list = true;
-    set
+    let mut settings = base_settings();
+    settings.classes = vec![class(1.0), class(0.75), class(1.0), class(0.6), class(1.0)];
+    settings.classes[1].partial_min_share = 0.5;
+    settings.classes[2].idempotency = Idempotency::Keyed;
+    settings.classes[3].idempotency = Idempotency::NonIdempotent;
+    settings.classes[3].late_weight_share = 0.0;
+    settings.classes[4].second_step_parts = 2;
+    settings.rules.retry_budget = Some(RetryBudget { window: ms(2000), min_retries: 5.0, retry_ratio: 0.1 });
+    settings.poll_endpoint_list = true;
+    settings
 }
 
-/// An entry of the endpoint list: replica n in cell n modulo four.
+/// Returns an entry of the endpoint list. Replica n belongs to cell n modulo four.
 pub fn list_entry(replica: ReplicaId, lifecycle: Lifecycle, started_at: Option<Micros>) -> ListedReplica {
     ListedReplica { replica, cell: replica % 4, relative_capacity: 1.0, lifecycle, started_at }
 }
 
-/// A complete list of so many replicas, all in service for long.
+/// Returns a complete list of `count` replicas, all in service and warm.
 pub fn complete_list(count: u32) -> Event {
     let replicas = (0..count).map(|n| list_entry(n, Lifecycle::InService, None)).collect();
     Event::EndpointList { replicas, cached: false }
 }
 
-/// A front node with its clock and everything it did.
-pub struct World {
+/// A front node with a simulated clock and the attempts that it sent.
+pub struct Harness {
     pub node: FrontNode,
     pub now: Micros,
     pub next_id: u32,
-    /// Attempts in flight: part and number, to the replica and the time of the send.
+    /// Attempts in flight. Maps part and attempt number to the replica and the time of the send.
     pub in_flight: BTreeMap<(Id, u32), (ReplicaId, Micros)>,
+    /// Number of attempts sent, by part.
     pub attempts_sent: BTreeMap<Id, u32>,
+    /// The shard of each part.
     pub shard: BTreeMap<Id, u32>,
+    /// The query of each part.
     pub query_of: BTreeMap<Id, Id>,
     pub last_actions: Vec<Action>,
 }
 
-impl World {
-    pub fn new(settings: Settings, replicas: u32) -> World {
-        World::with_seed(settings, replicas, 7)
+impl Harness {
+    pub fn new(settings: Settings, replicas: u32) -> Harness {
+        Harness::with_seed(settings, replicas, 7)
     }
 
-    pub fn with_seed(settings: Settings, replicas: u32, seed: u64) -> World {
+    pub fn with_seed(settings: Settings, replicas: u32, seed: u64) -> Harness {
         let now = ms(50_000);
-        let mut world = World {
+        let mut harness = Harness {
             node: FrontNode::new(settings, seed, now),
             now,
             next_id: 1,
@@ -116,12 +122,12 @@
             last_actions: Vec::new(),
         };
         if replicas > 0 {
-            world.deliver(vec![complete_list(replicas)]);
+            harness.deliver(vec![complete_list(replicas)]);
         }
-        world
+        harness
     }
 
-    /// Delivers a batch of events and records the attempts sent.
+    /// Delivers a batch of events and records the attempts sent. Returns all resulting actions.
     pub fn deliver(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.node.handle(self.now, &events, &mut actions);
@@ -136,25 +142,25 @@
         actions
     }
 
-    /// Lets time pass and wakes the node.
-    pub fn wait(&mut self, span: Micros) -> Vec<Action> {
-        self.now = self.now + span;
+    /// Advances the clock and delivers a timer event.
+    pub fn wait(&mut self, duration: Micros) -> Vec<Action> {
+        self.now = self.now + duration;
         self.deliver(vec![Event::TimerFired])
     }
 
-    /// The events of a new query with a part on each of the shards, of equal weight.
+    /// Returns the events of a new query that has a part for each of the shards, all of equal weight.
     pub fn query_events(&mut self, class: usize, shards: &[u32], expires_in: Micros) -> (Id, Vec<Event>) {
         let id = self.next_id;
         self.next_id += 1 + shards.len() as u32;
         let number = u64::from(id);
         let mut events =
             vec![Event::Query { id, number, class, tenant: None, expires_in, work_hint: None, retry: false }];
-        for (place, shard) in (1..).zip(shards) {
+        for (offset, shard) in (1..).zip(shards) {
             let weight = 1.0 / shards.len() as f64;
-            self.shard.insert(id + place, *shard);
-            self.query_of.insert(id + place, id);
+            self.shard.insert(id + offset, *shard);
+            self.query_of.insert(id + offset, id);
             events.push(Event::Part {
-                id: id + place,
+                id: id + offset,
                 query_number: number,
                 shard: *shard,
                 weight,
@@ -164,28 +170,28 @@
         (id, events)
     }
 
-    /// A new query, sent at once.
+    /// Delivers a new query with a part for each of the shards. Returns its id and the resulting actions.
     pub fn query(&mut self, class: usize, shards: &[u32]) -> (Id, Vec<Action>) {
         let (id, events) = self.query_events(class, shards, ms(3000));
         (id, self.deliver(events))
     }
 
-    /// The event that ends an attempt in flight.
+    /// Returns the event that ends an attempt in flight, and removes the attempt from those in flight.
     pub fn attempt_ended(&mut self, part: Id, attempt: u32, outcome: Outcome) -> Event {
         let (_, sent) = self.in_flight.remove(&(part, attempt)).expect("an attempt in flight");
         Event::AttemptEnded { part, attempt, outcome, elapsed: self.now - sent }
     }
 
-    /// Ends every attempt in flight at the replicas that pass `at`, delivered in one batch.
-    pub fn end_attempts(&mut self, outcome: Outcome, at: impl Fn(ReplicaId) -> bool) -> Vec<Action> {
+    /// Ends every attempt in flight at the replicas that `is_at` selects, in one batch of events.
+    pub fn end_attempts(&mut self, outcome: Outcome, is_at: impl Fn(ReplicaId) -> bool) -> Vec<Action> {
         let due: Vec<(Id, u32)> =
-            self.in_flight.iter().filter(|(_, (r, _))| at(*r)).map(|(key, _)| *key).collect();
+            self.in_flight.iter().filter(|(_, (r, _))| is_at(*r)).map(|(key, _)| *key).collect();
         let events =
             due.into_iter().map(|(part, attempt)| self.attempt_ended(part, attempt, outcome)).collect();
         self.deliver(events)
     }
 
-    /// Serves rounds of queries over all shards in 100 ms each, so that the node learns typical latencies.
+    /// Runs queries that are answered after 100 ms each, so that the front node learns typical latencies.
     pub fn learn_latencies(&mut self, rounds: u32) {
         for _ in 0..rounds {
             self.query(0, &[0, 1, 2, 3]);
@@ -195,7 +201,7 @@
     }
 }
 
-/// The attempts among the actions: part and replica.
+/// Returns part and replica of each attempt among the actions.
 pub fn sent_attempts(actions: &[Action]) -> Vec<(Id, ReplicaId)> {
     let sent = |action: &Action| match action {
         Action::Attempt { part, replica, .. } => Some((*part, *replica)),
@@ -204,30 +210,31 @@
     actions.iter().filter_map(sent).collect()
 }
 
-/// The final answers among the actions, a complete or partial answer included.
+/// Returns the actions that answer, reject or fail a query.
 pub fn final_answers(actions: &[Action]) -> Vec<Action> {
-    let last = |action: &&Action| {
+    let is_final = |action: &&Action| {
         matches!(action, Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. })
     };
-    actions.iter().filter(last).cloned().collect()
+    actions.iter().filter(is_final).cloned().collect()
 }
 
-/// One of sixty front nodes, with a hundred replicas, one in each cell, and each shard on three of them.
-pub fn world_of_a_hundred_replicas() -> World {
-    let mut set = settings();
-    set.cell_count = 100;
-    set.cells_per_shard = 3;
-    set.fleet_size = 60;
-    set.clients_mark_retries = true;
-    let mut world = World::new(set, 0);
-    let lines =
+/// Returns the harness of one of sixty front nodes. There are a hundred replicas, one in each cell, and three
+/// cells hold each shard.
+pub fn harness_with_100_replicas() -> Harness {
+    let mut settings = base_settings();
+    settings.cell_count = 100;
+    settings.cells_per_shard = 3;
+    settings.fleet_size = 60;
+    settings.clients_mark_retries = true;
+    let mut harness = Harness::new(settings, 0);
+    let entries =
         (0..100).map(|n| ListedReplica { cell: n, ..list_entry(n, Lifecycle::InService, None) }).collect();
-    world.deliver(vec![Event::EndpointList { replicas: lines, cached: false }]);
+    harness.deliver(vec![Event::EndpointList { replicas: entries, cached: false }]);
     for round in 0..10 {
-        world.query(0, &[round * 10, round * 10 + 3, round * 10 + 6]);
-        world.now = world.now + ms(100);
-        world.end_attempts(Outcome::Ok, |_| true);
-        world.wait(ms(900));
+        harness.query(0, &[round * 10, round * 10 + 3, round * 10 + 6]);
+        harness.now = harness.now + ms(100);
+        harness.end_attempts(Outcome::Ok, |_| true);
+        harness.wait(ms(900));
     }
-    world
+    harness
 }
--- a/tests/replay/digest.rs
+++ b/tests/replay/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of what a front node did.
+//! Digest of the actions of a front node.
 
 use crate::recorded_form::recorded_form;
 use pinetrestle::interface::Action;
@@ -20,15 +20,17 @@
     }
 }
 
-/// What a run amounts to: a hash over the recorded form of every batch, and a count of each kind of action.
+/// Summary of a run: a hash over the recorded form of all action batches, and the number of actions of each
+/// kind.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Digest {
     pub hash: u64,
+    /// Number of batches of events.
     pub batches: u64,
     pub counts: BTreeMap<&'static str, u64>,
 }
 
-/// A digest that is being computed.
+/// Computes a [`Digest`] from batches of actions.
 pub struct DigestBuilder {
     fnv: Fnv,
     batches: u64,
@@ -54,6 +56,7 @@
     }
 }
 
+/// Returns the name of an action's kind, as used in the recorded counts.
 fn kind(action: &Action) -> &'static str {
     match action {
         Action::Attempt { .. } => "attempt",
--- a/tests/replay/recorded_form.rs
+++ b/tests/replay/recorded_form.rs
@@ -1,9 +1,11 @@
-//! The form of actions that the recorded digests were computed from.
+//! The text form of actions from which the recorded digests were computed.
 
 use pinetrestle::interface::Action;
 
-/// A batch of actions as its `Debug` form was when the digests were recorded: the actions' names and fields
-/// have been renamed since, the digests have not been recorded again.
+/// Returns the text form of a batch of actions.
+///
+/// It is the `Debug` form that the actions had when the digests were recorded. Actions, fields and log lines
+/// have been renamed since, but the digests have not been recorded again.
 pub fn recorded_form(actions: &[Action]) -> String {
     let forms: Vec<String> = actions.iter().map(recorded_action).collect();
     format!("[{}]", forms.join(", "))
@@ -26,7 +28,7 @@
     }
 }
 
-/// A log line as it read when the digests were recorded.
+/// Returns a log line with the wording that it had when the digests were recorded.
 fn recorded_log_line(line: &str) -> String {
     match line {
         "endpoint list watch lost, polling again" => return "list lost, asking again".to_owned(),
@@ -45,13 +47,13 @@
         return format!("query of class {class} fells replicas");
     }
     let (replica, rest) =
-        line.strip_prefix("replica ").and_then(|rest| rest.split_once(' ')).expect("a known line");
-    let (state, ratio) = rest.split_once(", latency ").expect("a known line");
-    let ratio = ratio.strip_suffix(" times its peers").expect("a known line");
+        line.strip_prefix("replica ").and_then(|rest| rest.split_once(' ')).expect("a known log line");
+    let (state, ratio) = rest.split_once(", latency ").expect("a known log line");
+    let ratio = ratio.strip_suffix(" times its peers").expect("a known log line");
     let state = match state {
         "marked as outlier" => "condemned",
         "no longer an outlier" => "readmitted",
-        other => panic!("an unknown state of a replica: {other}"),
+        other => panic!("unknown outlier state: {other}"),
     };
     format!("replica {replica} {state}, pace {ratio} of its peers")
 }
--- a/tests/rules/events.rs
+++ b/tests/rules/events.rs
@@ -1,21 +1,21 @@
-//! Random events: a seeded source that also keeps the test's records up to date.
+//! Seeded source of random events. It also updates the records of the test.
 
 use crate::common::{list_entry, ms};
 use crate::records::{PartRecord, QueryRecord, Records, ReplicaRecord};
 use pinetrestle::interface::*;
 
-/// The batch that brings the first, cached list.
+/// Number of the batch that delivers the first endpoint list, a cached one.
 const FIRST_LIST_BATCH: u32 = 2;
-/// Spells of mostly good and mostly bad outcomes alternate after this many batches.
-const SPELL: u32 = 400;
-/// Number of classes of the settings.
+/// Number of batches after which phases with few and with many failed attempts alternate.
+const PHASE_BATCHES: u32 = 400;
+/// Number of classes in the settings.
 const CLASSES: u64 = 5;
-/// Parts of the first step of every query, one on each shard.
+/// Number of parts in the first step of each query, one for each shard.
 const FIRST_STEP_PARTS: u32 = 4;
-/// Parts of a second step.
+/// Number of parts in a second step.
 const SECOND_STEP_PARTS: u32 = 2;
 
-/// Outcomes other than `Ok`, in the order in which a roll picks them.
+/// Outcomes other than `Ok`. A random number picks one by its index, so their order must not change.
 const FAILURES: [Outcome; 7] = [
     Outcome::Error,
     Outcome::Rejected,
@@ -26,10 +26,11 @@
     Outcome::NotSent,
 ];
 
-/// A seeded generator (xorshift).
+/// A seeded random number generator (xorshift).
 struct Random(u64);
 
 impl Random {
+    /// Returns a random number from 0 up to but not including `bound`.
     fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -37,12 +38,13 @@
         (self.0 >> 11) % bound
     }
 
+    /// Returns true with probability `1 / bound`.
     fn one_in(&mut self, bound: u64) -> bool {
         self.below(bound) == 0
     }
 }
 
-/// The source of a run's events.
+/// Source of the events of a run.
 pub struct EventSource {
     random: Random,
     replicas: u32,
@@ -50,16 +52,16 @@
 }
 
 impl EventSource {
-    /// A source for a fleet of so many replicas.
+    /// Creates a source for a service with this number of replicas.
     pub fn new(seed: u64, replicas: u32) -> EventSource {
         EventSource { random: Random(seed * 7919 + 1), replicas, next_id: 1 }
     }
 
-    /// The events of a batch.
+    /// Returns the events of a batch.
     pub fn batch(&mut self, batch: u32, records: &mut Records) -> Vec<Event> {
         let mut events = vec![Event::TimerFired];
         events.extend(self.list_event(batch, records));
-        self.end_attempts(batch / SPELL % 2 == 1, records, &mut events);
+        self.end_attempts(batch / PHASE_BATCHES % 2 == 1, records, &mut events);
         self.disconnect_clients(records, &mut events);
         self.begin_second_steps(records, &mut events);
         if self.random.one_in(3) {
@@ -68,7 +70,8 @@
         events
     }
 
-    /// A complete list at first, then changes and failures.
+    /// Returns an event of the endpoint list, if there is one in this batch: first a complete list, later
+    /// changes and failures of the watch.
     fn list_event(&mut self, batch: u32, records: &mut Records) -> Option<Event> {
         if batch == FIRST_LIST_BATCH {
             let in_service = ReplicaRecord { lifecycle: Lifecycle::InService, started: None };
@@ -93,17 +96,17 @@
         Event::EndpointListChanged(vec![list_entry(id, lifecycle, started)])
     }
 
-    fn end_attempts(&mut self, bad_spell: bool, records: &mut Records, events: &mut Vec<Event>) {
-        let ends_one_in = if bad_spell { 40 } else { 12 };
-        let outcomes = if bad_spell { 14 } else { 40 };
+    fn end_attempts(&mut self, failing_phase: bool, records: &mut Records, events: &mut Vec<Event>) {
+        let ends_one_in = if failing_phase { 40 } else { 12 };
+        let outcome_count = if failing_phase { 14 } else { 40 };
         let mut answered = 0;
         for (part, record) in &mut records.parts {
             for (attempt, sent) in (0..).zip(&mut record.attempts) {
                 if sent.outcome.is_some() || !self.random.one_in(ends_one_in) {
                     continue;
                 }
-                let roll = self.random.below(outcomes) as usize;
-                let outcome = FAILURES.get(roll).copied().unwrap_or(Outcome::Ok);
+                let outcome_index = self.random.below(outcome_count) as usize;
+                let outcome = FAILURES.get(outcome_index).copied().unwrap_or(Outcome::Ok);
                 sent.outcome = Some(outcome);
                 answered += u64::from(outcome == Outcome::Ok);
                 let elapsed = records.now - sent.sent_at;
@@ -116,7 +119,7 @@
     fn disconnect_clients(&mut self, records: &mut Records, events: &mut Vec<Event>) {
         let now = records.now;
         for (id, query) in records.queries.iter_mut().filter(|(_, query)| !query.ended) {
-            assert!(query.deadline_at > now, "no query is lost");
+            assert!(query.deadline_at > now, "every query must get a final answer before its deadline");
             if self.random.one_in(2000) {
                 query.ended = true;
                 events.push(Event::ClientDisconnected(*id));
@@ -124,13 +127,13 @@
         }
     }
 
-    /// The parts of the second steps that answers of the last batch began.
+    /// Adds the parts of the second steps that began with answers in the previous batch.
     fn begin_second_steps(&mut self, records: &mut Records, events: &mut Vec<Event>) {
         let open = records.queries.iter().filter(|(_, query)| !query.ended && query.step == 2);
         let without_parts =
             open.filter(|(_, query)| !query.parts.iter().any(|part| records.parts[part].step == 2));
-        let begun: Vec<Id> = without_parts.map(|(id, _)| *id).collect();
-        for query in begun {
+        let queries: Vec<Id> = without_parts.map(|(id, _)| *id).collect();
+        for query in queries {
             for shard in 0..SECOND_STEP_PARTS {
                 self.add_part(query, shard, SECOND_STEP_PARTS, 2, records, events);
             }
@@ -152,18 +155,18 @@
         }
     }
 
-    /// Adds one of so many parts of equal weight.
+    /// Adds a part to a query. Its weight is that of one of `part_count` equal parts.
     fn add_part(
         &mut self,
         query: Id,
         shard: u32,
-        of: u32,
+        part_count: u32,
         step: u8,
         records: &mut Records,
         events: &mut Vec<Event>,
     ) {
         let id = self.take_id();
-        let weight = 1.0 / f64::from(of);
+        let weight = 1.0 / f64::from(part_count);
         records.received.push(records.now);
         records.parts.insert(id, PartRecord { query, shard, weight, step, attempts: Vec::new() });
         records.queries.get_mut(&query).expect("a known query").parts.push(id);
--- a/tests/rules/records.rs
+++ b/tests/rules/records.rs
@@ -1,22 +1,24 @@
-//! The test's own records of queries, parts and attempts, and the rules checked against them.
+//! Records of queries, parts and attempts that the test keeps, and the checks of the rules against them.
 
 use crate::common::ms;
 use pinetrestle::interface::*;
 use std::collections::BTreeMap;
 
-/// Sums of weights may be short by this through rounding.
+/// Tolerance for rounding errors in sums of weights.
 const WEIGHT_TOLERANCE: f64 = 0.0002;
-/// Records of what ended longer ago than this are dropped.
+/// Age after which the records of ended queries and attempts are dropped.
 const RETENTION: Micros = Micros(3_000_000);
 
-/// One attempt.
+/// Record of an attempt.
 pub struct AttemptRecord {
     pub replica: ReplicaId,
     pub sent_at: Micros,
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl AttemptRecord {
+    /// Returns whether the outcome proves that the attempt did not run.
     fn never_ran(&self) -> bool {
         let proof =
             |outcome| matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
@@ -24,7 +26,7 @@
     }
 }
 
-/// One part.
+/// Record of a part.
 pub struct PartRecord {
     pub query: Id,
     pub shard: u32,
@@ -39,7 +41,7 @@
     }
 }
 
-/// One query.
+/// Record of a query.
 pub struct QueryRecord {
     pub class: usize,
     pub deadline_at: Micros,
@@ -50,7 +52,7 @@
 }
 
 impl QueryRecord {
-    /// A query that has just begun, without parts.
+    /// Creates the record of a new query without parts.
     pub fn new(class: usize, deadline_at: Micros) -> QueryRecord {
         QueryRecord {
             class,
@@ -63,14 +65,14 @@
     }
 }
 
-/// What the list says of a replica.
+/// Record of a replica, according to the endpoint list.
 #[derive(Clone, Copy)]
 pub struct ReplicaRecord {
     pub lifecycle: Lifecycle,
     pub started: Option<Micros>,
 }
 
-/// The records of a run.
+/// All records of a run.
 pub struct Records {
     pub settings: Settings,
     pub now: Micros,
@@ -128,7 +130,7 @@
             }
             Action::Cancel { part, attempt } => {
                 let sent = self.parts[part].attempts.len();
-                assert!((*attempt as usize) < sent, "only what was sent is cancelled");
+                assert!((*attempt as usize) < sent, "only attempts that were sent may be cancelled");
             }
             Action::SetTimer(_) | Action::WatchEndpointList | Action::Log(_) => {}
         }
@@ -136,15 +138,22 @@
 
     fn check_attempt(&self, id: Id, replica: ReplicaId) {
         let part = &self.parts[&id];
-        assert!(!self.queries[&part.query].ended, "no part is sent after the final answer");
-        assert!(!part.is_answered(), "nor one whose answer is in");
-        assert_eq!(self.replicas[&replica].lifecycle, Lifecycle::InService, "drains are respected");
+        assert!(!self.queries[&part.query].ended, "no part may be sent after the final answer");
+        assert!(!part.is_answered(), "an answered part must not be sent again");
+        assert_eq!(
+            self.replicas[&replica].lifecycle,
+            Lifecycle::InService,
+            "attempts must go to replicas in service only"
+        );
         let distance = (replica % 4 + 4 - part.shard % 4) % 4;
-        assert!(distance < self.settings.cells_per_shard, "the replica holds the shard");
+        assert!(distance < self.settings.cells_per_shard, "the replica must hold the shard");
         let limits = &self.settings.limits;
-        assert!((part.attempts.len() as u32) < limits.max_attempts, "attempts are capped");
+        assert!(
+            (part.attempts.len() as u32) < limits.max_attempts,
+            "a part must not exceed the maximum number of attempts"
+        );
         let in_flight = part.attempts.iter().any(|attempt| attempt.outcome.is_none());
-        assert!(!in_flight || limits.allow_hedging, "hedging has to be allowed");
+        assert!(!in_flight || limits.allow_hedging, "hedged requests must be allowed");
         self.check_effect(part);
         if !part.attempts.is_empty() {
             self.check_retry_budget();
@@ -159,22 +168,25 @@
             Idempotency::Keyed => {
                 let in_window =
                     may_have_run.is_none_or(|attempt| self.now - attempt.sent_at < class.idempotency_window);
-                assert!(in_window, "a keyed part is retried within its idempotency window only");
+                assert!(in_window, "a keyed part must be retried within its idempotency window only");
             }
             Idempotency::NonIdempotent => {
-                assert!(may_have_run.is_none(), "a non-idempotent part is retried only if it never ran");
+                assert!(
+                    may_have_run.is_none(),
+                    "a non-idempotent part must be retried only if it did not run"
+                );
             }
         }
     }
 
-    /// Checks that one more retry now stays within the budget.
+    /// Checks that a further retry at this time stays within the retry budget.
     fn check_retry_budget(&self) {
         let budget = self.settings.rules.retry_budget.expect("a budget is set");
         let since = self.now - budget.window;
-        let used = self.retries.iter().filter(|at| **at >= since).count() as f64 + 1.0;
+        let retries = self.retries.iter().filter(|at| **at >= since).count() as f64 + 1.0;
         let received = self.received.iter().filter(|at| **at > since).count() as f64;
         let allowed = budget.min_retries + budget.retry_ratio * received;
-        assert!(used <= allowed, "the retry budget is kept");
+        assert!(retries <= allowed, "the retry budget must not be exceeded");
     }
 
     fn record_attempt(&mut self, id: Id, replica: ReplicaId) {
@@ -189,8 +201,8 @@
 
     fn check_open(&self, id: Id) {
         let query = &self.queries[&id];
-        assert!(!query.ended, "one final answer and no more");
-        assert!(self.now < query.deadline_at, "before the client's time is up");
+        assert!(!query.ended, "a query must not get a second final answer");
+        assert!(self.now < query.deadline_at, "a query must end before its deadline");
     }
 
     fn check_answer(&self, id: Id, complete: bool) {
@@ -200,11 +212,11 @@
         let needed = if query.step == 1 { class.complete_share } else { 1.0 };
         assert!(
             answered > class.partial_min_share - WEIGHT_TOLERANCE,
-            "none from under the floor: {answered}"
+            "an answer must have the minimum share: {answered}"
         );
         assert!(
             !complete || answered > needed - WEIGHT_TOLERANCE,
-            "none marked complete that is not: {answered}"
+            "an answer marked complete must be complete: {answered}"
         );
         assert!(!complete || query.step == 1 || query.first_step_complete);
     }
@@ -215,10 +227,10 @@
             return;
         }
         let mut attempts = query.parts.iter().flat_map(|part| &self.parts[part].attempts);
-        assert!(attempts.all(AttemptRecord::never_ran), "a rejection says that a retry is harmless");
+        assert!(attempts.all(AttemptRecord::never_ran), "a query that may have run must not be rejected");
     }
 
-    /// An answer ends the query, or begins its second step.
+    /// Records an answer, which ends the query or begins its second step.
     fn record_answer(&mut self, id: Id, complete: bool) {
         self.answers += 1;
         let query = self.queries.get_mut(&id).expect("a known query");
@@ -240,8 +252,8 @@
         answered.map(|part| part.weight).sum()
     }
 
-    /// Drops the records of what ended long ago.
-    pub fn forget_old(&mut self) {
+    /// Drops records of queries and attempts that ended long ago.
+    pub fn drop_old(&mut self) {
         let oldest = self.now - RETENTION;
         let queries = &self.queries;
         self.parts.retain(|_, part| {
@@ -255,8 +267,8 @@
         self.retries.retain(|at| *at > oldest);
     }
 
-    /// Checks the work sent to each warming-up replica in the last overload window, taking a part for the least
-    /// that it may cost here.
+    /// Checks the work sent to each warming-up replica in the latest overload window. Each part counts as the
+    /// least work that a part may be estimated to take in these runs.
     pub fn check_slow_start(&self) {
         let rules = &self.settings.rules;
         for (id, replica) in &self.replicas {
@@ -271,15 +283,19 @@
                     && self.now - attempt.sent_at < rules.overload_window
             };
             let sent = self.parts.values().flat_map(|part| &part.attempts).filter(recent).count() as f64;
-            let warmth = 0.2 + 0.8 * age.ratio_to(rules.warm_up_time);
+            let capacity_share = 0.2 + 0.8 * age.ratio_to(rules.warm_up_time);
             let share = self.slow_start_share();
-            assert!(sent <= 2.0 * warmth * share + 1.0, "{sent} parts at warmth {warmth}, share {share}");
+            assert!(
+                sent <= 2.0 * capacity_share * share + 1.0,
+                "{sent} parts at capacity share {capacity_share}, share {share}"
+            );
         }
     }
 
-    /// This front node's share of a replica's capacity, in parts a second. Three quarters of the parts take 15 ms
-    /// and more here; the share is an even one of a core, or what a replica answers it on average (half as much
-    /// again for chance).
+    /// Returns the share of a replica's capacity that this front node may use, in parts per second.
+    ///
+    /// Three quarters of the parts take 15 ms or more in these runs. The share is an even share of one core
+    /// or, if larger, the parts that a replica answers on average, plus half of that to allow for chance.
     fn slow_start_share(&self) -> f64 {
         let even = 1.0 / f64::from(self.settings.fleet_size) / 0.015;
         if self.settings.fleet_size <= 2 {
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -1,25 +1,28 @@
-//! Checks of the source tree's shape that a reader relies on: no source file grows past
-//! [`MAX_LINES`] lines, no two modules of one crate import each other, directly or through others,
-//! every crate warns on missing docs, no error is a bare string, and the deploy file names every decision
-//! module.
+//! Checks of the source tree:
 //!
-//! The checks read the files under `src/` and `crates/*/src/` as text. A module is named by the
-//! first component of its path below `src/` (`host/table.rs` belongs to `host`), and an import is a
-//! `use crate::…` statement, with or without `pub`; relative paths (`super::`, `self::`) stay inside
-//! one module and are not followed.
+//! - no source file is longer than [`MAX_LINES`] lines;
+//! - the modules of a crate do not import each other in a cycle;
+//! - every crate warns on missing documentation;
+//! - no function returns a `String` as its error;
+//! - deploy/balancer.toml names every module of the decision core.
+//!
+//! The checks read the files under `src/` and `crates/*/src/` as text. A module is named by the first
+//! component of its path below `src/` (`host/table.rs` belongs to `host`). An import is a `use crate::…`
+//! statement, with or without `pub`. Relative paths (`super::`, `self::`) stay inside one module and are not
+//! followed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The most lines a source file may have before it should be split by concern.
+/// Maximum number of lines of a source file. Longer files should be split by concern.
 const MAX_LINES: usize = 450;
 
 fn workspace_root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Every `src/` folder of the workspace: the root package's and each crate's.
+/// Returns every `src/` folder of the workspace: the one of the root package and one for each crate.
 fn source_roots() -> Vec<PathBuf> {
     let root = workspace_root();
     let mut roots = vec![root.join("src")];
@@ -33,7 +36,8 @@
     roots
 }
 
-fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
+/// Appends all Rust files below a folder to `found`.
+fn collect_rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
     let mut entries: Vec<PathBuf> = fs::read_dir(folder)
         .unwrap_or_else(|error| panic!("{}: {error}", folder.display()))
         .map(|entry| entry.expect("a readable folder entry").path())
@@ -41,18 +45,18 @@
     entries.sort();
     for path in entries {
         if path.is_dir() {
-            rust_files(&path, found);
+            collect_rust_files(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
     }
 }
 
-/// The source files of the whole workspace.
+/// Returns the source files of the whole workspace.
 fn all_source_files() -> Vec<PathBuf> {
     let mut files = Vec::new();
     for source_root in source_roots() {
-        rust_files(&source_root, &mut files);
+        collect_rust_files(&source_root, &mut files);
     }
     files
 }
@@ -61,6 +65,7 @@
     fs::read_to_string(file).unwrap_or_else(|error| panic!("{}: {error}", file.display()))
 }
 
+/// Returns a path relative to the root of the workspace, with forward slashes.
 fn relative(path: &Path) -> String {
     path.strip_prefix(workspace_root()).expect("a file of the workspace").to_string_lossy().replace('\\', "/")
 }
@@ -87,7 +92,7 @@
             without.push(relative(&crate_root));
         }
     }
-    assert!(without.is_empty(), "these lack #![warn(missing_docs)]:\n{}", without.join("\n"));
+    assert!(without.is_empty(), "these crate roots lack #![warn(missing_docs)]:\n{}", without.join("\n"));
 }
 
 #[test]
@@ -100,33 +105,37 @@
             }
         }
     }
-    assert!(untyped.is_empty(), "give these a typed error:\n{}", untyped.join("\n"));
+    assert!(untyped.is_empty(), "these functions need a typed error:\n{}", untyped.join("\n"));
 }
 
 #[test]
-fn the_deploy_file_names_every_decision_module_as_policy() {
+fn the_deploy_file_names_every_decision_core_module_as_policy() {
     let deploy = read(&workspace_root().join("deploy/balancer.toml"));
     let policy = deploy.lines().find(|line| line.starts_with("policy")).expect("a policy line");
     let mut files = Vec::new();
-    rust_files(&workspace_root().join("src/front_node"), &mut files);
+    collect_rust_files(&workspace_root().join("src/front_node"), &mut files);
     let names = files.iter().map(|file| relative(file));
     let missing: Vec<String> = names.filter(|name| !policy.contains(&format!("\"{name}\""))).collect();
-    assert!(missing.is_empty(), "name these under policy in deploy/balancer.toml:\n{}", missing.join("\n"));
+    assert!(
+        missing.is_empty(),
+        "these files are missing under policy in deploy/balancer.toml:\n{}",
+        missing.join("\n")
+    );
 }
 
-/// Whether a line names a `Result` whose error is `String`.
+/// Returns whether a line contains a `Result` type whose error is `String`.
 fn has_string_error(line: &str) -> bool {
     line.contains("Result<") && line.contains(", String>")
 }
 
 #[test]
-fn a_string_as_an_error_is_found() {
+fn a_string_error_is_found() {
     assert!(has_string_error("fn set(&mut self) -> Result<(), String> {"));
     assert!(has_string_error("let read = |path| -> Result<Vec<u8>, String> {"));
     assert!(!has_string_error("fn read(path: &Path) -> Result<String, ReadError> {"));
 }
 
-/// The modules named by the `use crate::…` statements of one file's text.
+/// Returns the modules that the `use crate::…` statements of a source text import.
 fn imported_modules(text: &str) -> BTreeSet<String> {
     let mut modules = BTreeSet::new();
     let mut rest = text;
@@ -146,6 +155,8 @@
     modules
 }
 
+/// Splits the path of a `use` statement at its outermost braces.
+///
 /// `a::B` gives `["a::B"]`; `{a::B, c::{D, E}}` gives `["a::B", "c::{D, E}"]`.
 fn top_level_paths(statement: &str) -> Vec<String> {
     let statement = statement.trim();
@@ -171,8 +182,8 @@
     paths.into_iter().map(|path| path.trim().to_string()).filter(|path| !path.is_empty()).collect()
 }
 
-/// The module a file belongs to: the first component of its path below `src/`; `None` for the
-/// crate root (`lib.rs`, `main.rs`), which may import what it declares.
+/// Returns the module that a file belongs to: the first component of its path below `src/`. The crate root
+/// (`lib.rs` or `main.rs`) may import any module and gives `None`.
 fn module_of(source_root: &Path, file: &Path) -> Option<String> {
     let below = file.strip_prefix(source_root).expect("a file below its source root");
     let first = below.components().next()?.as_os_str().to_string_lossy().to_string();
@@ -180,8 +191,9 @@
     (module != "lib" && module != "main").then_some(module)
 }
 
-/// A circle of modules that import each other, if there is one, as `a -> b -> a`.
-fn find_circle(imports: &BTreeMap<String, BTreeSet<String>>) -> Option<Vec<String>> {
+/// Returns a cycle of modules that import each other, if there is one. Its first module is repeated at the
+/// end.
+fn find_cycle(imports: &BTreeMap<String, BTreeSet<String>>) -> Option<Vec<String>> {
     fn visit(
         module: &str,
         imports: &BTreeMap<String, BTreeSet<String>>,
@@ -189,17 +201,17 @@
         done: &mut BTreeSet<String>,
     ) -> Option<Vec<String>> {
         if let Some(position) = path.iter().position(|seen| seen == module) {
-            let mut circle = path[position..].to_vec();
-            circle.push(module.to_string());
-            return Some(circle);
+            let mut cycle = path[position..].to_vec();
+            cycle.push(module.to_string());
+            return Some(cycle);
         }
         if done.contains(module) {
             return None;
         }
         path.push(module.to_string());
         for next in imports.get(module).into_iter().flatten() {
-            if let Some(circle) = visit(next, imports, path, done) {
-                return Some(circle);
+            if let Some(cycle) = visit(next, imports, path, done) {
+                return Some(cycle);
             }
         }
         path.pop();
@@ -208,19 +220,19 @@
     }
     let mut done = BTreeSet::new();
     for module in imports.keys() {
-        if let Some(circle) = visit(module, imports, &mut Vec::new(), &mut done) {
-            return Some(circle);
+        if let Some(cycle) = visit(module, imports, &mut Vec::new(), &mut done) {
+            return Some(cycle);
         }
     }
     None
 }
 
 #[test]
-fn no_modules_of_one_crate_import_each_other() {
-    let mut circles = Vec::new();
+fn modules_of_one_crate_have_no_import_cycle() {
+    let mut cycles = Vec::new();
     for source_root in source_roots() {
         let mut files = Vec::new();
-        rust_files(&source_root, &mut files);
+        collect_rust_files(&source_root, &mut files);
         let mut imports: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for file in &files {
             let Some(module) = module_of(&source_root, file) else { continue };
@@ -228,28 +240,28 @@
             let targets = imports.entry(module.clone()).or_default();
             targets.extend(imported_modules(&text).into_iter().filter(|target| *target != module));
         }
-        if let Some(circle) = find_circle(&imports) {
-            circles.push(format!("{}: {}", relative(&source_root), circle.join(" -> ")));
+        if let Some(cycle) = find_cycle(&imports) {
+            cycles.push(format!("{}: {}", relative(&source_root), cycle.join(" -> ")));
         }
     }
-    assert!(circles.is_empty(), "modules that import each other:\n{}", circles.join("\n"));
+    assert!(cycles.is_empty(), "modules that import each other in a cycle:\n{}", cycles.join("\n"));
 }
 
 #[test]
-fn the_import_reader_finds_grouped_and_nested_paths() {
+fn imports_with_grouped_and_nested_paths_are_found() {
     let text = "use crate::a::B;\npub(crate) use crate::{c::D, e::{F, G}};\nuse crate::{self as x};\n";
     let found: Vec<String> = imported_modules(text).into_iter().collect();
     assert_eq!(found, ["a", "c", "e"]);
 }
 
 #[test]
-fn a_circle_of_three_modules_is_found() {
+fn a_cycle_of_three_modules_is_found() {
     let mut imports: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     imports.entry("a".into()).or_default().insert("b".into());
     imports.entry("b".into()).or_default().insert("c".into());
     imports.entry("c".into()).or_default().insert("a".into());
     imports.entry("d".into()).or_default().insert("a".into());
-    assert_eq!(find_circle(&imports), Some(vec!["a".into(), "b".into(), "c".into(), "a".into()]));
-    imports.get_mut("c").expect("c is there").clear();
-    assert_eq!(find_circle(&imports), None);
+    assert_eq!(find_cycle(&imports), Some(vec!["a".into(), "b".into(), "c".into(), "a".into()]));
+    imports.get_mut("c").expect("imports of module c").clear();
+    assert_eq!(find_cycle(&imports), None);
 }
