--- a/src/front_node/attempts.rs
+++ b/src/front_node/attempts.rs
@@ -14,7 +14,7 @@
     /// flight.
     pub(super) fn on_attempt_ended(&mut self, id: AttemptId, outcome: Outcome, elapsed: Micros) {
         let Some(ended) = self.in_flight.remove(&id) else { return };
-        // Determined first, as recording the outcome changes the latencies that this depends on.
+        // Determined by the state before the outcome is recorded.
         let overdue = self.is_overdue(&ended);
         if is_response(outcome) {
             self.last_response_at = self.now;
@@ -34,9 +34,9 @@
 
     /// Counts the call of an ended attempt as ended too, if none of its other attempts is in flight.
     fn release_call(&mut self, ended: &InFlightAttempt) {
-        let call_over = !self.in_flight.values().any(|other| other.call_number == ended.call_number);
+        let call_ended = !self.in_flight.values().any(|other| other.call_number == ended.call_number);
         if let Some(replica) = self.replicas.get_mut(&ended.replica) {
-            replica.in_flight -= u32::from(call_over);
+            replica.in_flight -= u32::from(call_ended);
         }
     }
 
@@ -75,8 +75,8 @@
         let previous_ratio = self.latency_ratio(known);
         let Some(replica) = self.replicas.get_mut(&ended.replica) else { return };
         let recent = replica.failure_penalty_ends.len().min(MAX_FAILURE_PENALTY_STEPS) as f64;
-        let until = self.now + penalty_time.mul_f64(1.0 + FAILURE_PENALTY_GROWTH * recent);
-        replica.failure_penalty_ends.push(until);
+        let penalty_end = self.now + penalty_time.mul_f64(1.0 + FAILURE_PENALTY_GROWTH * recent);
+        replica.failure_penalty_ends.push(penalty_end);
         replica.consecutive_failures += 1;
         if raises_ratio {
             replica.latency_ratio = previous_ratio.max(ratio);
--- a/src/front_node/dispatch.rs
+++ b/src/front_node/dispatch.rs
@@ -18,7 +18,7 @@
     Hedge,
 }
 
-/// A part that may be sent now, with the best replica for it. Compared by `reason`, `load` and `tie_breaker`.
+/// A part that may be sent now, with the best replica for it. Ordered by `reason`, `load` and `tie_breaker`.
 #[derive(Clone, Copy)]
 struct Candidate {
     reason: SendReason,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A replica that may take a part. Compared by `tried`, `load` and `tie_breaker`.
+/// A replica that may take a part. Ordered by `tried`, `load` and `tie_breaker`.
 #[derive(Clone, Copy)]
 struct ReplicaChoice {
     replica: ReplicaId,
@@ -60,7 +60,7 @@
 }
 
 impl FrontNode {
-    /// Sends the attempts that the current step of a query needs for a complete answer, at most `most_sends`.
+    /// Sends the attempts that the current step of a query needs for a complete answer, at most `max_sends`.
     ///
     /// Parts that have not been sent yet come first, least loaded replica first. In a class that needs only n
     /// of its k parts, an overdue part is thus replaced by another part before it is hedged. Next come parts
@@ -68,11 +68,11 @@
     ///
     /// In such a class, the query may send one extra part beyond what it needs, as long as the share of extra
     /// parts is small.
-    pub(super) fn dispatch(&mut self, query: &mut Query, most_sends: usize) {
+    pub(super) fn dispatch(&mut self, query: &mut Query, max_sends: usize) {
         let needed = self.complete_share(query);
         let mut extra_part_due = self.may_send_extra_part(query, needed);
         query.extra_part_decided = true;
-        for _ in 0..most_sends {
+        for _ in 0..max_sends {
             let status = self.step_status(query);
             let lacking = status.live_weight < needed - EPSILON;
             let Some(best) = status.best.filter(|_| lacking || extra_part_due) else { break };
@@ -93,12 +93,13 @@
     /// This is decided once for each query, at its first dispatch. While load is shed no extra parts are
     /// sent: replicas would serve them before the cancellation arrives.
     fn may_send_extra_part(&self, query: &Query, needed: f64) -> bool {
-        let most = MAX_EXTRA_PART_SHARE * self.attempts_sent.read(self.now, COUNTER_HALF_LIFE);
-        let few = self.extra_parts_sent.read(self.now, COUNTER_HALF_LIFE) + 1.0 <= most;
-        let n_of_k = query.step == 1 && needed < 1.0;
-        few && self.in_flight_limit.is_none() && !query.extra_part_decided && n_of_k
+        let max_extra_parts = MAX_EXTRA_PART_SHARE * self.attempts_sent.read(self.now, COUNTER_HALF_LIFE);
+        let below_limit = self.extra_parts_sent.read(self.now, COUNTER_HALF_LIFE) + 1.0 <= max_extra_parts;
+        let needs_n_of_k = query.step == 1 && needed < 1.0;
+        below_limit && self.in_flight_limit.is_none() && !query.extra_part_decided && needs_n_of_k
     }
 
+    /// Determines what is answered or in flight in the current step of a query, and which part to send first.
     fn step_status(&self, query: &Query) -> StepStatus {
         let mut status = StepStatus { live_weight: 0.0, best: None };
         let parts = query.parts.iter().enumerate().filter(|(_, part)| part.step == query.step);
@@ -132,27 +133,30 @@
         }
     }
 
+    /// Returns the attempts of a part that are in flight.
     fn in_flight_of<'a>(&'a self, part: &'a Part) -> impl Iterator<Item = &'a InFlightAttempt> {
-        let open = (0..).zip(&part.attempts).filter(|(_, attempt)| attempt.in_flight);
-        open.filter_map(|(attempt, _)| self.in_flight.get(&AttemptId { part: part.id, attempt }))
+        let unended = (0..).zip(&part.attempts).filter(|(_, attempt)| attempt.in_flight);
+        unended.filter_map(|(attempt, _)| self.in_flight.get(&AttemptId { part: part.id, attempt }))
     }
 
     /// Returns the listed replicas, in service or draining, of the cells that hold a shard.
     pub(super) fn replicas_of_shard(&self, shard: u32) -> impl Iterator<Item = (&ReplicaId, &Replica)> {
         let cell_count = self.settings.cell_count.max(1);
         let cells = self.settings.cells_per_shard.min(cell_count);
-        let cell = move |place| (shard % cell_count + place) % cell_count;
-        let listed = (0..cells).filter_map(move |place| self.replicas_by_cell.get(&cell(place)));
+        let cell = move |offset| (shard % cell_count + offset) % cell_count;
+        let listed = (0..cells).filter_map(move |offset| self.replicas_by_cell.get(&cell(offset)));
         listed.flatten().filter_map(|id| self.replicas.get_key_value(id))
     }
 
     /// Returns the load by which replicas are compared.
     ///
-    /// The load is the number of calls in flight, recent failures and the part to be sent, multiplied by the
-    /// load factor of the replica. At a replica that is warming up it is divided by the replica's present
-    /// share of its capacity, but only for a random part of the sends, the larger the smaller that share is
-    /// (`draw` is a random number from 0 to 1). If the load were higher for every send, no front node would
-    /// send the replica anything as long as there is little in flight at the others.
+    /// The load is the number of calls in flight plus recent failures plus the part to be sent, multiplied by
+    /// the load factor of the replica.
+    ///
+    /// A replica that is warming up can take only a share of the parts that it can take when warm. For the
+    /// remaining share of the parts, chosen at random with `draw` (from 0 to 1), the load is divided by that
+    /// share. If the load were raised for all parts, every front node would avoid the replica as long as the
+    /// other replicas have little in flight.
     fn replica_load(&self, replica: &Replica, draw: f64) -> f64 {
         let count = f64::from(replica.in_flight) + replica.failure_penalty_ends.len() as f64 + 1.0;
         let capacity_share = self.capacity_share(replica);
@@ -179,8 +183,8 @@
 
     /// Returns a replica with the values by which it is compared with others for this part.
     ///
-    /// Ties are broken by a hash of the random generator's state, the part and the replica. The state changes
-    /// with each attempt sent, so the result is stable until then.
+    /// Ties are broken by a hash of the random number generator's state, the part and the replica. The result
+    /// stays the same until the next random number is drawn, which happens with each attempt sent.
     fn rate_replica(&self, part: &Part, id: ReplicaId, replica: &Replica) -> ReplicaChoice {
         let seed = self.random.state;
         let tie_breaker = hash_to_unit(seed ^ (u64::from(part.id) << 32) ^ u64::from(id));
@@ -241,13 +245,13 @@
     }
 
     /// Returns the timeout of an attempt: the time until the query is given up, or less if attempts can't be
-    /// both hedged and cancelled. In that case the timeout is what allows the next attempt of the part.
+    /// both hedged and cancelled. The part can then get its next attempt only after the timeout.
     fn attempt_timeout(&self, query: &Query) -> Micros {
-        let left = self.give_up_at(query) - self.now;
+        let time_left = self.give_up_at(query) - self.now;
         if self.settings.limits.allow_hedging && self.settings.limits.allow_cancel {
-            return left;
+            return time_left;
         }
-        self.overdue_after(query.class_step()).mul_f64(TIMEOUT_MULTIPLE).min(left)
+        self.overdue_after(query.class_step()).mul_f64(TIMEOUT_MULTIPLE).min(time_left)
     }
 
     /// Counts an attempt that was sent; `is_retry` if an attempt of the same part was sent before.
--- a/src/front_node/endpoint_list.rs
+++ b/src/front_node/endpoint_list.rs
@@ -39,9 +39,9 @@
         // Keeps the idle timer running, so that the list is requested even if no query arrives.
         watch.confirmed = false;
         watch.next_poll_at = self.now + watch.backoff.mul_f64(0.5 + self.random.next());
-        let most =
+        let max_backoff =
             self.settings.rules.max_list_staleness.min(LIST_STALENESS_LIMIT).mul_f64(MAX_POLL_BACKOFF_SHARE);
-        watch.backoff = watch.backoff.mul_f64(POLL_BACKOFF_GROWTH).min(most);
+        watch.backoff = watch.backoff.mul_f64(POLL_BACKOFF_GROWTH).min(max_backoff);
         self.log("endpoint list watch lost, polling again".to_owned());
     }
 
@@ -72,6 +72,7 @@
         self.endpoint_watch.backoff = INITIAL_POLL_BACKOFF;
     }
 
+    /// Applies the entries of a list or a watch event.
     fn apply_entries(&mut self, entries: &[ListedReplica]) {
         for entry in entries {
             self.apply_entry(entry);
@@ -94,6 +95,7 @@
         replica.lifecycle = entry.lifecycle;
     }
 
+    /// Rebuilds the index of replicas by cell.
     fn index_replicas_by_cell(&mut self) {
         let cell_count = self.settings.cell_count.max(1);
         self.replicas_by_cell.clear();
--- a/src/front_node/lifecycle.rs
+++ b/src/front_node/lifecycle.rs
@@ -10,7 +10,7 @@
     /// Advances a query as far as is possible now. Returns false if it has got its final answer.
     pub(super) fn advance(&mut self, query: &mut Query) -> bool {
         if !query.admitted {
-            if self.waits_after_stall(query) {
+            if self.must_wait_for_stall(query) {
                 return true;
             }
             if !self.admit(query) {
@@ -32,7 +32,7 @@
             return self.give_up(query);
         }
         self.cancel_in_flight(query, true);
-        if !self.waits_after_stall(query) {
+        if !self.must_wait_for_stall(query) {
             self.dispatch_contained(query, &containment);
         }
         true
@@ -43,8 +43,8 @@
         if containment.wait_for_answers && self.has_recent_attempt(query) {
             return;
         }
-        let most_sends = if containment.one_at_a_time { 1 } else { usize::MAX };
-        self.dispatch(query, most_sends);
+        let max_sends = if containment.one_at_a_time { 1 } else { usize::MAX };
+        self.dispatch(query, max_sends);
     }
 
     /// Returns the share of the current step's weight that makes its answer complete. A second step needs all
@@ -57,6 +57,7 @@
         }
     }
 
+    /// Returns whether enough parts of the current step are answered for a complete answer.
     fn is_complete(&self, query: &Query) -> bool {
         let needed = self.complete_share(query);
         let mut parts = query.step_parts();
@@ -64,7 +65,7 @@
         query.answered_weight() > needed - EPSILON && (needed < 1.0 || all_answered)
     }
 
-    /// Answers the current step. Returns whether a second step follows, whose parts arrive with a later
+    /// Answers the current step. Returns whether a second step follows, whose parts arrive with the next
     /// batch.
     fn answer_step(&mut self, query: &mut Query) -> bool {
         self.actions.push(Action::Answer { query: query.id, complete: true });
@@ -108,7 +109,7 @@
     /// quarter of its objective at most: replicas do not read what is sent during the stall, and some of the
     /// clients whose queries arrive in a burst after it have already disconnected. Right after a pause of
     /// this machine every query waits, and so do its retries.
-    fn waits_after_stall(&mut self, query: &Query) -> bool {
+    fn must_wait_for_stall(&mut self, query: &Query) -> bool {
         let in_stall = !query.admitted && self.global_stall.observed_until > Micros(0);
         let stall_wait_end = if in_stall {
             let latest = query.arrived_at
@@ -118,11 +119,11 @@
             Micros(0)
         };
         let until = stall_wait_end.max(self.resume_sends_at).min(self.give_up_at(query));
-        let waits = self.now < until;
-        if waits {
+        let must_wait = self.now < until;
+        if must_wait {
             self.actions.push(Action::SetTimer(until - self.now));
         }
-        waits
+        must_wait
     }
 
     /// Cancels the query's attempts in flight, of all parts or only of the parts that are answered already.
@@ -166,6 +167,7 @@
         false
     }
 
+    /// Returns whether the query may get a partial answer now.
     fn may_answer_partially(&self, query: &Query) -> bool {
         let class = &self.settings.classes[query.class];
         let last_step = query.step == 2 || !class.has_second_step();
--- a/src/front_node/mod.rs
+++ b/src/front_node/mod.rs
@@ -1,7 +1,19 @@
 //! Decisions of a front node. Their interface is src/interface.rs (settings, events and actions).
 //!
-//! This module holds the state of a [`FrontNode`] and processes batches of events. Each submodule adds the
-//! decisions of one subsystem; `tuning` holds the tuned constants of all of them.
+//! This module holds the state of a [`FrontNode`] and processes batches of events. Each submodule makes the
+//! decisions of one subsystem:
+//!
+//! - `events`: applies events to the state;
+//! - `endpoint_list`: the replicas, and the watch on the list of them;
+//! - `attempts`, `latency`: what the end of an attempt says about its replica, and latency estimates;
+//! - `stalls`: intervals in which all replicas or this machine are paused;
+//! - `outliers`: replicas that are much slower than the others;
+//! - `admission`: admission of queries and load shedding;
+//! - `lifecycle`: a query from its arrival to its final answer;
+//! - `dispatch`, `overdue`: replica selection, sending of attempts, and hedged requests for overdue ones;
+//! - `retry`, `slow_start`: checks before each send;
+//! - `query_of_death`: containment of queries that crash replicas;
+//! - `tuning`: the tuned constants of all submodules.
 
 use crate::interface::{Action, Event, Id, Micros, ReplicaId, Settings};
 use crate::numeric::{DecayingCounter, SlidingWindow, SplitMix64};
@@ -39,7 +51,7 @@
 /// It is deterministic: the same settings, seed, batches of events and times give the same actions.
 #[derive(Default)]
 pub struct FrontNode {
-    /// The settings. They do not change.
+    /// The settings, fixed at construction.
     settings: Settings,
     /// Source of all random numbers.
     random: SplitMix64,
@@ -166,8 +178,8 @@
         let min_staleness = INITIAL_POLL_BACKOFF.mul_f64(DEFAULT_STALENESS_MULTIPLE);
         self.settings.rules.max_list_staleness = self.settings.rules.max_list_staleness.max(min_staleness);
         let spread = INITIAL_POLL_BACKOFF.mul_f64(FIRST_POLL_SPREAD * f64::from(self.settings.fleet_size));
-        let most = self.settings.rules.max_list_staleness.mul_f64(MAX_FIRST_POLL_SHARE);
-        self.endpoint_watch.next_poll_at = self.now + spread.min(most).mul_f64(self.random.next());
+        let max_spread = self.settings.rules.max_list_staleness.mul_f64(MAX_FIRST_POLL_SHARE);
+        self.endpoint_watch.next_poll_at = self.now + spread.min(max_spread).mul_f64(self.random.next());
     }
 
     /// Advances every open query, in ascending order of sequence numbers, and drops those that have ended.
--- a/src/front_node/overdue.rs
+++ b/src/front_node/overdue.rs
@@ -17,11 +17,11 @@
     /// Returns the age at which an attempt is overdue. It is higher while load is shed, as hedged requests
     /// add load.
     pub(super) fn overdue_after(&self, class_step: ClassStep) -> Micros {
-        let least = self.typical_latency(class_step).mul_f64(MIN_OVERDUE_MULTIPLE);
-        let most = self.latest_hedge(class_step);
-        let while_shedding = if self.in_flight_limit.is_some() { least + least } else { least };
-        let late = self.stats(class_step).p95.unwrap_or_default().mul_f64(OVERDUE_P95_MULTIPLE);
-        least.max(while_shedding.max(late).min(most))
+        let min_age = self.typical_latency(class_step).mul_f64(MIN_OVERDUE_MULTIPLE);
+        let max_age = self.latest_hedge(class_step);
+        let while_shedding = if self.in_flight_limit.is_some() { min_age + min_age } else { min_age };
+        let unusual_age = self.stats(class_step).p95.unwrap_or_default().mul_f64(OVERDUE_P95_MULTIPLE);
+        min_age.max(while_shedding.max(unusual_age).min(max_age))
     }
 
     /// Returns whether an attempt is overdue.
--- a/src/front_node/query_of_death.rs
+++ b/src/front_node/query_of_death.rs
@@ -23,10 +23,10 @@
 impl FrontNode {
     /// Returns the restrictions on a query.
     ///
-    /// A query with an answered part has no restrictions. Most queries that lose an attempt because another
-    /// query crashed the replica soon have one. Until then, once a replica has reset a connection of the
-    /// query, nothing is sent while a recent attempt may still be answered, and after that one part at a
-    /// time. A reset by a second replica makes it a query of death.
+    /// A query with an answered part has no restrictions. A harmless query that lost an attempt because
+    /// another query crashed the replica soon has such a part. Until then, once a replica has reset a
+    /// connection of the query, nothing is sent while a recent attempt may still be answered, and after that
+    /// one part at a time. A reset by a second replica makes it a query of death.
     ///
     /// A query that no replica has reset sends one part ahead of the others (a canary) if there is enough
     /// time and it is either marked as a retry by its client, or wide while a replica has crashed recently.
@@ -59,6 +59,7 @@
         query.parts.len() as f64 > WIDE_QUERY_SHARE * self.replicas.len() as f64
     }
 
+    /// Returns whether a replica has crashed recently, judged by failures to connect.
     fn replica_crashed_recently(&self) -> bool {
         self.last_crash_at.is_some_and(|at| self.now - at < RECENT_CRASH_WINDOW)
     }
--- a/src/front_node/retry.rs
+++ b/src/front_node/retry.rs
@@ -46,6 +46,8 @@
             && !self.was_sent_there_recently(query, part, id)
     }
 
+    /// Returns whether an attempt of a part is in flight at a replica or was sent there within the typical
+    /// latency.
     fn was_sent_there_recently(&self, query: &Query, part: &Part, id: ReplicaId) -> bool {
         let recent_from = self.now - self.typical_latency(ClassStep::first(query.class));
         let mut attempts = part.attempts.iter().filter(|attempt| attempt.replica == id);
@@ -67,9 +69,9 @@
 
     /// Returns for how long a retry of the part may still be sent so that replicas drop it as a duplicate.
     ///
-    /// The idempotency window begins with the send of the first attempt that may have run. The time that a
-    /// retry may wait at the replica before it runs is deducted. The result is `None` if the class has no
-    /// idempotency keys or no attempt may have run, as there is no such limit then.
+    /// The idempotency window begins with the send of the first attempt that may have run. One tick and the
+    /// time that a retry may wait at the replica before it runs are deducted. The result is `None` if the
+    /// class has no idempotency keys or no attempt may have run, as there is no such limit then.
     pub(super) fn idempotency_time_left(
         &self,
         class: &Class,
@@ -87,8 +89,9 @@
     /// Returns whether a further retry would exceed the share of attempts above which retries amplify an
     /// overload.
     fn exceeds_retry_share(&self) -> bool {
-        let most = MIN_RETRIES + MAX_RETRY_SHARE * self.attempts_sent.read(self.now, COUNTER_HALF_LIFE);
-        self.retries_sent.read(self.now, COUNTER_HALF_LIFE) + 1.0 > most
+        let max_retries =
+            MIN_RETRIES + MAX_RETRY_SHARE * self.attempts_sent.read(self.now, COUNTER_HALF_LIFE);
+        self.retries_sent.read(self.now, COUNTER_HALF_LIFE) + 1.0 > max_retries
     }
 
     /// Returns whether a further retry stays within the retry budget of the service.
--- a/src/front_node/slow_start.rs
+++ b/src/front_node/slow_start.rs
@@ -24,10 +24,9 @@
     /// Returns whether a replica may take a further part. Always true for a replica that is not warming up.
     ///
     /// The work sent to a warming-up replica in any overload window, including retries, is limited to this
-    /// front node's share of the replica's present capacity. The share of the full capacity is an even share
-    /// of one core or, if larger, the work that a replica of the same relative capacity does for this front
-    /// node on average. Over all front nodes, the latter adds up to less than the replica can do when it is
-    /// warm.
+    /// front node's share of the work that the replica can take at present. The share is an even share of one
+    /// core or, if larger, the work that a replica of the same relative capacity does for this front node on
+    /// average. Over all front nodes, the latter adds up to less than the replica can do when it is warm.
     ///
     /// If the limit is below the work of one part, single parts are sent at intervals. The first one is sent
     /// after a random part of an interval, so that front nodes neither send at the same time nor all send
