--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
 //! Interface of the decision core: its settings, its input events and its output actions.
 //!
 //! This module holds plain data only. All decisions are made in the private `front_node` module. The crate's
-//! front page defines the terms (query, part, step, attempt, call, cell).
+//! front page defines the terms (query, step, part, weight, work, replica, cell, attempt, call).
 
 /// A point in time or a duration, in microseconds.
 ///
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,6 +10,8 @@
 //! - *Query*: a request of a client. A *try* is one submission of the query; a client may retry a query.
 //! - *Step*: a query has one or two steps, which are answered one after the other.
 //! - *Part*: the work of a step on one shard of the index.
+//! - *Weight*: the share of a step's answer that a part contributes.
+//! - *Work*: the processing time of a part at a replica, as time of one core.
 //! - *Replica*: an index server process that holds some of the shards.
 //! - *Cell*: a group of replicas that hold the same shards.
 //! - *Attempt*: one part sent once to one replica. A further attempt of a part is a *retry*, and a *hedged
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -6,9 +6,9 @@
 use common::*;
 use pinetrestle::interface::*;
 
-/// Runs a surge: one query per entry of `tenants` arrives every 100 ms, while the replicas answer only six
-/// attempts in that time. Returns the queries rejected without an attempt after the first 21 rounds, and the
-/// number offered.
+/// Runs a surge of 80 rounds: in each, one query per entry of `tenants` arrives, and after 100 ms the
+/// replicas answer only six attempts. Returns the ids of the queries that were rejected without an attempt
+/// after the first 21 rounds, and the number of all queries.
 fn surge(harness: &mut Harness, class: usize, tenants: &[usize]) -> (Vec<Id>, u32) {
     let (mut rejected, mut offered) = (Vec::new(), 0);
     for round in 0..80 {
@@ -67,8 +67,8 @@
     let (mut per_tenant, mut tenants) = ([0, 0], Vec::new());
     let (rejected, _) = surge(&mut harness, 0, &[0, 1, 0]);
     for id in rejected {
-        // Each round has three queries of five ids each (a query and four parts). The second one is of tenant
-        // 1.
+        // Each round has three queries of five ids each (a query and four parts). Tenant 1 has the second
+        // one.
         tenants.push(usize::from((id - 1) / 5 % 3 == 1));
     }
     tenants.iter().for_each(|tenant| per_tenant[*tenant] += 1);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -75,7 +75,7 @@
             harness.now = harness.now + ms(if round % 10 == 9 { 400 } else { 100 });
             harness.end_attempts(Outcome::Ok, |_| true);
         }
-        // A query right after the last round of 400 ms would wait, as that round counts as a stall.
+        // The last round of 400 ms counts as a stall, after which a query would wait. So 50 ms pass first.
         harness.now = harness.now + ms(50);
         let (_, first) = harness.query(0, &[0]);
         assert!(
