--- a/crates/recovery/src/stale_state.rs
+++ b/crates/recovery/src/stale_state.rs
@@ -1,59 +1,59 @@
-//! What a member may do by a fact that it finds on its own disk after a restart.
+//! What a member may use state for that it finds on its own disk after a restart, and that may be outdated.
 //!
-//! | fact | harm if it is wrong | decide by it | be more cautious by it |
+//! | state | harm if it is outdated | used to decide | used to be more cautious |
 //! | --- | --- | --- | --- |
-//! | the log and its snapshot | two leaders, two lease holders | only through the log: what a majority has | never on its own |
-//! | a drain of an index server | parts to a server that is being stopped | once the log shows it in this incarnation | before: nothing is sent to the server |
-//! | discovery's endpoint list | connections to machines that are gone, or that are other machines now | never: discovery is polled | in safe mode, while discovery is silent: addresses to try |
-//! | a replica was slow or failed | a healthy replica gets nothing, its peers too much | never | never: it has restarted as well |
-//! | the version that ran last | an old version among new ones | once the log names it | before: the one to start, replaced by a later step |
-//! | a lease held | two lease holders | never | never |
+//! | the log and its snapshot | two leaders, two lease holders | only entries that a majority has, through the log | never on its own |
+//! | a drain of an index server | parts are sent to a server that is being stopped | once the log shows the drain in this incarnation | before that: nothing is sent to the server |
+//! | discovery's endpoint list | connections to machines that are gone, or that now do something else | never: discovery is polled | in safe mode while discovery does not respond: addresses to try |
+//! | a replica was slow or failed | a healthy replica gets no parts, the other replicas of its shard too many | never | never: the replica has restarted as well |
+//! | the version that ran last | an old version runs among new ones | once the log shows the version | before that: the version to start, which a later step replaces |
+//! | a lease was held | two lease holders | never | never |
 //!
-//! No ages are compared: no clock runs through a power loss, and wall clocks may have been moved. What counts
-//! is whether a fact was learned in this incarnation, and whether the log has shown a report of this
-//! incarnation.
+//! Ages are not compared, because no clock runs through a power loss and wall clocks may have been changed.
+//! What counts is whether the member learned the state in this incarnation, and whether a report of this
+//! incarnation has been applied from the log.
 
-/// What a fact is about.
+/// The kind of state that a member finds on its disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateKind {
     /// An index server is drained by the fleet.
     ServerDrain,
-    /// Discovery's endpoint list.
+    /// The endpoint list of discovery.
     EndpointList,
     /// A replica was slow or failed.
     ReplicaHealth,
     /// The version of the front node that ran last.
     FrontNodeVersion,
-    /// A lease was held.
+    /// The member held a lease.
     Lease,
 }
 
-/// Where a fact comes from.
+/// Where the state comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateSource {
-    /// Learned in this incarnation.
+    /// The member learned the state in this incarnation.
     ThisIncarnation,
-    /// Read from disk, and the log has shown a report of this incarnation since: it holds all that was
-    /// decided before.
+    /// The state was read from disk, and since then a report of this incarnation was applied from the log. So
+    /// all log entries from before this incarnation have been applied.
     DiskWithCurrentLog,
-    /// Read from disk, and nothing more is known.
+    /// The state was read from disk, and no report of this incarnation has been applied from the log yet.
     DiskOnly,
 }
 
-/// What a fact may be used for.
+/// What the state may be used for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermittedUse {
-    /// Any decision.
+    /// The state may be used for any decision.
     Decide,
-    /// Only to do less than without it, or what can be undone.
+    /// The state may only be used to do less than without it, or to do something that can be undone.
     CautionOnly,
-    /// Nothing.
+    /// The state must not be used.
     Ignore,
 }
 
-/// The use that the table of this module permits for `fact` from `source`.
-pub fn permitted_use(fact: StateKind, source: StateSource) -> PermittedUse {
-    match (fact, source) {
+/// Returns what state of the given kind and source may be used for, by the table in the module documentation.
+pub fn permitted_use(kind: StateKind, source: StateSource) -> PermittedUse {
+    match (kind, source) {
         (_, StateSource::ThisIncarnation) => PermittedUse::Decide,
         (StateKind::ServerDrain | StateKind::FrontNodeVersion, StateSource::DiskWithCurrentLog) => {
             PermittedUse::Decide
--- a/crates/recovery/tests/random_histories/event.rs
+++ b/crates/recovery/tests/random_histories/event.rs
@@ -1,31 +1,31 @@
-//! The events of a random history, and how likely each is.
+//! The events of a random sequence, and how likely each of them is.
 
 use proptest::prelude::*;
 
-/// Members of the fleet; their ids are 1 to this.
+/// Number of members of the fleet. Their ids are 1 to this number.
 pub const MEMBERS: u64 = 7;
 
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A member that is down starts in a new incarnation.
+    /// The member starts in a new incarnation, if it is down.
     Start { member: u64 },
-    /// All members and front nodes go down.
+    /// All members and their front nodes go down.
     PowerLoss,
-    /// The member receives discovery's endpoint list.
+    /// The member receives discovery's endpoint list, if it is up.
     ReceiveEndpointList { member: u64 },
     /// The member proposes a presence report.
     ReportPresence { member: u64 },
-    /// The member becomes leader, if a majority is up.
+    /// The member becomes leader, if it and a majority of members are up.
     Elect { member: u64 },
     /// The coordinator is polled.
     PollCoordinator,
     /// The member's admission controller is polled.
     PollAdmission { member: u64 },
-    /// A proposal in flight is committed, and stays in flight if it is to be committed twice.
+    /// A proposal in flight is committed. With `twice`, a copy stays in flight.
     Commit { position: usize, twice: bool },
     /// A proposal in flight is lost.
     LoseProposal { position: usize },
-    /// So many milliseconds pass.
+    /// `ms` milliseconds pass.
     AdvanceTime { ms: u64 },
     /// The member and its front node go down.
     Stop { member: u64 },
--- a/crates/recovery/tests/random_histories/fleet.rs
+++ b/crates/recovery/tests/random_histories/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet with its log, its members and their front nodes, and the checks as the state changes.
+//! A simulated fleet: the replicated state, the members and their front nodes, and the checks after each
+//! change.
 
 use crate::event::{Event, MEMBERS};
 use pinetrestle_fleet::{MemberId, Token};
@@ -8,12 +9,12 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds a wave lasts at least.
-const WARM_MS: u64 = 500;
-/// So long that no member enters safe mode, in milliseconds.
+/// Minimum duration of a wave, in milliseconds.
+const MIN_WAVE_MS: u64 = 500;
+/// A time without a leader, in milliseconds, that is never reached, so that no member enters safe mode.
 const NO_SAFE_MODE_MS: u64 = u64::MAX / 2;
-/// Rounds in which a fleet that is left undisturbed has to be back completely.
-const MAX_CALM_ROUNDS: u32 = 400;
+/// Number of rounds without faults within which every front node has to be running again.
+const MAX_ROUNDS_WITHOUT_FAULTS: u32 = 400;
 
 struct Member {
     id: MemberId,
@@ -24,7 +25,7 @@
     admission: AdmissionController,
 }
 
-/// A wave that opened.
+/// A wave that was opened.
 struct Wave {
     size: u32,
     opened_ms: u64,
@@ -37,11 +38,11 @@
     state: RecoveryState,
     coordinator: RecoveryCoordinator,
     members: BTreeMap<u64, Member>,
-    /// Proposals that are neither committed nor lost yet.
+    /// Proposals that have been neither committed nor lost.
     in_flight: Vec<Command>,
-    /// Whether the fleet has not been back to normal since the last power loss.
+    /// Whether the fleet has not reached the normal stage since the last power loss.
     is_recovering: bool,
-    /// The waves since the last power loss.
+    /// The waves opened since the last power loss.
     waves: Vec<Wave>,
 }
 
@@ -98,8 +99,9 @@
         }
     }
 
-    /// Applies a command and checks what it changed: while the fleet returns nobody loses its admission, and no wave
-    /// opens too early or out of a stage that has none.
+    /// Applies a command and checks the change: during a recovery no member loses its admission, no wave
+    /// opens too early, and a stage is only advanced from [`RecoveryStage::AwaitingEndpointLists`] or
+    /// [`RecoveryStage::Waves`].
     fn commit(&mut self, command: &Command) {
         let admitted_before = self.admitted();
         let stage_before = self.state.stage();
@@ -109,10 +111,11 @@
             self.is_recovering = false;
         }
         let admitted = self.admitted();
-        let returns = matches!(stage_before, RecoveryStage::AwaitingEndpointLists | RecoveryStage::Waves(_));
+        let is_in_recovery =
+            matches!(stage_before, RecoveryStage::AwaitingEndpointLists | RecoveryStage::Waves(_));
         assert!(
-            !returns || admitted_before.is_subset(&admitted),
-            "{admitted_before:?} were admitted before {command:?}, {admitted:?} after it"
+            !is_in_recovery || admitted_before.is_subset(&admitted),
+            "members {admitted_before:?} were admitted before {command:?}, only {admitted:?} after it"
         );
         if let RecoveryStage::Waves(size) = stage {
             if stage != stage_before {
@@ -127,19 +130,22 @@
     fn record_wave(&mut self, size: u32) {
         if let Some(last) = self.waves.last() {
             let lasted_ms = self.now_ms - last.opened_ms;
-            assert!(size <= last.size || lasted_ms >= WARM_MS, "a wave after {lasted_ms} ms");
+            assert!(
+                size <= last.size || lasted_ms >= MIN_WAVE_MS,
+                "a wave was opened {lasted_ms} ms after the previous one"
+            );
         }
         self.waves.push(Wave { size, opened_ms: self.now_ms });
     }
 
-    /// Members that are up and whose present incarnation is admitted.
+    /// Returns the members that are up and whose current incarnation is admitted.
     fn admitted(&self) -> BTreeSet<u64> {
         let is_admitted = |member: &Member| self.state.is_admitted(member.id, member.incarnation);
         let admitted = self.members.iter().filter(|(_, member)| member.up && is_admitted(member));
         admitted.map(|(id, _)| *id).collect()
     }
 
-    /// Whether the leader of the present term has counted its election.
+    /// Returns whether the election of the leader of the current term has been applied.
     fn has_leader(&self) -> bool {
         self.term == self.state.term()
     }
@@ -176,7 +182,8 @@
         self.is_recovering = true;
         self.waves.clear();
         self.coordinator = RecoveryCoordinator::new();
-        // No leader has the term that follows until one is elected. Proposals in flight may still be committed.
+        // There is no leader in the new term until one is elected. Proposals in flight may still be
+        // committed.
         self.term += 1;
     }
 
@@ -195,18 +202,19 @@
         self.term += 1;
         self.token = Token(self.term * 100);
         let members = (1..=MEMBERS).map(MemberId).collect();
-        // A leader's first entry goes before all others of its term.
+        // The first entry of a leader is committed before all other entries of its term.
         self.commit(&Command::LeaderElected { term: self.term, members });
     }
 
     fn poll_coordinator(&mut self) {
         if self.term > 0 && self.has_leader() {
-            let command = self.coordinator.poll(self.now_ms, self.token, &self.state, false, WARM_MS);
+            let command = self.coordinator.poll(self.now_ms, self.token, &self.state, false, MIN_WAVE_MS);
             self.in_flight.extend(command);
         }
     }
 
-    /// Starts the member's front node once it is admitted; while the fleet returns no more run than the waves allow.
+    /// Starts the member's front node if it is admitted. During a recovery, checks that no more front nodes
+    /// run than the waves admit.
     fn poll_admission(&mut self, id: u64) {
         let leader_known = self.term > 0 && self.has_leader();
         let member = self.members.get_mut(&id).expect("a member of the fleet");
@@ -224,12 +232,14 @@
         }
     }
 
-    /// An election in the middle counts anew, and front nodes admitted before it may still come up: the largest wave
-    /// so far is the bound.
+    /// Checks that no more front nodes run than the largest wave so far admits.
+    ///
+    /// After an election during the recovery, the next wave may be smaller than the last one, but front nodes
+    /// that were admitted before the election may still come up.
     fn check_wave_size(&self) {
         let largest_wave = self.waves.iter().map(|wave| wave.size).max().unwrap_or(0) as usize;
         let running = self.members.values().filter(|member| member.front_node_runs).count();
-        assert!(running <= largest_wave, "{running} front nodes run, a wave of {largest_wave}");
+        assert!(running <= largest_wave, "{running} front nodes run, the largest wave is {largest_wave}");
     }
 
     fn commit_proposal(&mut self, position: usize, twice: bool) {
@@ -241,21 +251,22 @@
         self.commit(&command);
     }
 
-    /// Takes the proposal at `position`, counted round, out of those in flight.
+    /// Removes the proposal at `position`, modulo the number of proposals, from those in flight, and returns
+    /// it.
     fn take_proposal(&mut self, position: usize) -> Option<Command> {
         let in_flight = self.in_flight.len();
         (in_flight > 0).then(|| self.in_flight.remove(position % in_flight))
     }
 
-    /// Every member starts, and everything goes on in order, without disturbances, until every front node runs.
+    /// Starts every member and runs the fleet without faults until every front node runs.
     pub fn run_to_completion(&mut self) {
         for member in 1..=MEMBERS {
             self.play(&Event::Start { member });
         }
         self.in_flight.clear();
         self.play(&Event::Elect { member: 1 });
-        for _ in 0..MAX_CALM_ROUNDS {
-            self.play_calm_round();
+        for _ in 0..MAX_ROUNDS_WITHOUT_FAULTS {
+            self.play_round_without_faults();
             if self.members.values().all(|member| member.front_node_runs) {
                 return;
             }
@@ -263,7 +274,7 @@
         panic!("not every front node was admitted: {:?}", self.state);
     }
 
-    fn play_calm_round(&mut self) {
+    fn play_round_without_faults(&mut self) {
         self.play(&Event::AdvanceTime { ms: 20 });
         for member in 1..=MEMBERS {
             self.play(&Event::ReceiveEndpointList { member });
--- a/crates/recovery/tests/random_histories/main.rs
+++ b/crates/recovery/tests/random_histories/main.rs
@@ -1,9 +1,10 @@
-//! Returns from a power loss in random orders: members that start late or restart, elections in the middle, commands
-//! that are lost, duplicated or late.
+//! Recoveries from a power loss under random sequences of events: members start late or restart, leaders are
+//! elected during the recovery, and proposals are lost, duplicated or delayed.
 //!
-//! Checked all along: no front node is admitted while the fleet returns and its wave has not opened, no more run than
-//! the waves allow, no admission is taken back, no stage opens from the report of an old incarnation. At the end every
-//! front node is admitted.
+//! Checked throughout: during a recovery, no front node starts before its wave is open, no more front nodes
+//! run than the waves admit, no admission is revoked, no wave opens before the previous one has lasted its
+//! minimum time, and no stage begins because of a report of an old incarnation. At the end of each sequence,
+//! every front node is admitted.
 
 mod event;
 mod fleet;
@@ -13,7 +14,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same histories each time; `PINETRESTLE_RECOVERY_CASES` plays more of them, `PINETRESTLE_RECOVERY_SEED` others.
+/// Returns the settings for the random sequences. The seed is fixed, so each run plays the same sequences;
+/// `PINETRESTLE_RECOVERY_CASES` sets how many, `PINETRESTLE_RECOVERY_SEED` another seed.
 fn settings() -> ProptestConfig {
     let number = |name: &str, default: u64| {
         std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
@@ -31,7 +33,7 @@
     #![proptest_config(settings())]
 
     #[test]
-    fn a_fleet_without_service_returns_by_waves_and_completely(
+    fn a_fleet_without_service_recovers_in_waves_until_every_front_node_runs(
         events in prop::collection::vec(event(), 20..400),
     ) {
         let mut fleet = Fleet::new();
--- a/crates/rollout/tests/random_histories/event.rs
+++ b/crates/rollout/tests/random_histories/event.rs
@@ -1,24 +1,26 @@
-//! The events of a random history, and how likely each is.
+//! The events of a random sequence, and how likely each of them is.
 
 use proptest::prelude::*;
 
-/// Front nodes of the fleet, one per member; their ids are 1 to this.
+/// Number of front nodes of the fleet, one per member. Their ids are 1 to this number.
 pub const NODES: u64 = 5;
 
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The members of the set `members` (bit per id) apply their logs, are polled and see their processes advance; the
-    /// coordinator is polled if it is among them; of the proposals in flight all but `left_in_flight` are committed.
+    /// The members whose bits are set in `members` (bit 1 for id 1, and so on) apply entries of the log, poll
+    /// their agents and advance their processes. If the lease holder is among them, its coordinator is
+    /// polled. Then all proposals in flight but `left_in_flight` are committed. Bit 0 limits the number of
+    /// log entries that each member applies.
     Round { members: u8, left_in_flight: usize },
-    /// The member and its front node stand still for so many milliseconds.
+    /// The member and its front node do nothing for `ms` milliseconds.
     Stall { member: u64, ms: u64 },
-    /// A copy of the command so many places before the end of the log is committed again.
+    /// A copy of the command at `places_back` places before the end of the log is committed.
     CommitCopy { places_back: usize },
-    /// So many milliseconds pass.
+    /// `ms` milliseconds pass.
     AdvanceTime { ms: u64 },
-    /// The member applies so many entries of the log.
+    /// The member applies up to `entries` further entries of the log.
     Apply { member: u64, entries: usize },
-    /// A proposal in flight is committed, and stays in flight if it is to be committed twice.
+    /// A proposal in flight is committed. With `twice`, a copy stays in flight.
     Commit { position: usize, twice: bool },
     /// A proposal in flight is lost.
     LoseProposal { position: usize },
@@ -26,20 +28,21 @@
     PollAgent { member: u64 },
     /// The member's coordinator is polled.
     PollCoordinator { member: u64 },
-    /// The release lease goes to the member.
+    /// The release lease is granted to the member, with a new token.
     MoveLease { member: u64 },
     /// The member restarts: a new incarnation with a new agent.
     RestartMember { member: u64 },
-    /// The front node's process gets on with what it does: it ends, comes up, or answers queries.
+    /// The front node's process makes progress: it completes its shutdown, or becomes ready and answers
+    /// queries.
     AdvanceProcess { member: u64 },
     /// The front node's process ends by itself.
     CrashProcess { member: u64 },
-    /// The front node fails queries.
+    /// Queries to the front node fail.
     FailQueries { member: u64 },
     /// The leader proposes to declare the member unreachable.
     DeclareUnreachable { member: u64 },
-    /// The operators send a command.
-    Operators(OperatorCommand),
+    /// An operator sends a command.
+    Operator(OperatorCommand),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -51,7 +54,7 @@
 }
 
 impl OperatorCommand {
-    fn of_number(number: u8) -> OperatorCommand {
+    fn from_number(number: u8) -> OperatorCommand {
         match number {
             0 | 1 => OperatorCommand::Release,
             2 | 6 => OperatorCommand::Halt,
@@ -86,6 +89,6 @@
         3 => id.clone().prop_map(|member| Event::CrashProcess { member }),
         1 => id.clone().prop_map(|member| Event::FailQueries { member }),
         1 => id.prop_map(|member| Event::DeclareUnreachable { member }),
-        2 => (0u8..7).prop_map(|number| Event::Operators(OperatorCommand::of_number(number))),
+        2 => (0u8..7).prop_map(|number| Event::Operator(OperatorCommand::from_number(number))),
     ]
 }
--- a/crates/rollout/tests/random_histories/fleet.rs
+++ b/crates/rollout/tests/random_histories/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet with its log, its members and their front nodes, and the checks after each event.
+//! A simulated fleet: the log, the members with their front nodes, and the checks after each event.
 
 use crate::event::{Event, OperatorCommand, NODES};
 use crate::process::Process;
@@ -9,32 +9,33 @@
 };
 use std::collections::BTreeMap;
 
-/// Milliseconds of one round.
+/// Length of a round, in milliseconds.
 const ROUND_MS: u64 = 40;
-/// Entries that a member which reads its log slowly applies in one round.
+/// Number of log entries that a member applies in a round in which members apply the log slowly.
 const SLOW_APPLY_ENTRIES: usize = 2;
-/// The token under which a member that lost the lease goes on.
+/// The token that a member which has lost the lease still uses.
 const LOST_TOKEN: Token = Token(7);
-/// Tokens of the lease after it moved lie above this.
+/// The tokens of leases that were moved to another member are higher than this.
 const MOVED_TOKEN_BASE: u64 = 1_000;
-/// Rounds after which a fleet that is left undisturbed has to have come to rest, at the latest and at the earliest.
-const MAX_CALM_ROUNDS: u32 = 4_000;
-const MIN_CALM_ROUNDS: u32 = 100;
-/// Rounds between two resumes by the operators while the fleet is left undisturbed.
+/// Maximum and minimum number of rounds without faults until the fleet is idle: no release runs and no slot
+/// is held.
+const MAX_ROUNDS_WITHOUT_FAULTS: u32 = 4_000;
+const MIN_ROUNDS_WITHOUT_FAULTS: u32 = 100;
+/// Number of rounds without faults between two resumes by an operator.
 const RESUME_EVERY: u32 = 50;
 
 pub struct Member {
     pub process: Process,
     agent: Agent,
     coordinator: RolloutCoordinator,
-    /// The state as far as this member has applied the log.
+    /// The replicated state as this member has it: it may not have applied the whole log.
     view: RolloutState,
     applied: usize,
     incarnation: u64,
     stalled_until_ms: u64,
 }
 
-/// One start of a version under a slot.
+/// A start of a version in a step.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct StepStart {
     member: u64,
@@ -49,27 +50,28 @@
 
 struct LoggedCommand {
     command: Command,
-    /// The release lease's token at its place in the log.
+    /// The token of the release lease at the log index of the command.
     release_lease: Token,
 }
 
 pub struct Fleet {
     pub members: BTreeMap<u64, Member>,
-    /// The state as the whole log has it.
+    /// The replicated state with the whole log applied.
     pub state: RolloutState,
-    /// Most slots held at once.
+    /// The largest number of slots that were held at the same time.
     pub max_slots_held: usize,
     now_ms: u64,
     log: Vec<LoggedCommand>,
     lease: LeaseHolder,
-    /// Proposals that are neither committed nor lost yet.
+    /// Proposals that have been neither committed nor lost.
     in_flight: Vec<Command>,
     node_limit: usize,
     operator_commands: u64,
     releases: u64,
     step_starts: BTreeMap<StepStart, u64>,
-    /// Whether no member restarted and no process ended by itself: then each step starts its version once.
-    is_undisturbed: bool,
+    /// Whether no member has restarted and no process has crashed. As long as that is so, each step starts
+    /// its version only once.
+    is_without_crashes: bool,
 }
 
 fn plan(max_unavailable: u32) -> Plan {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A new incarnation, which reads the log again from the start.
+    /// Starts a new incarnation, which applies the log again from its beginning.
     fn restart(&mut self, id: u64) {
         self.incarnation += 1;
         self.agent = agent(id, self.incarnation);
@@ -147,7 +149,7 @@
             operator_commands: 0,
             releases: 0,
             step_starts: BTreeMap::new(),
-            is_undisturbed: true,
+            is_without_crashes: true,
         };
         fleet.commit(Command::Configure(plan));
         fleet
@@ -159,21 +161,24 @@
         let index = self.log.len() as u64 + 1;
         let is_applied = self.state.apply(index, &command, Some(token)) == Outcome::Applied;
         if let Command::GrantSlot { token: granted_under, .. } = &command {
-            assert!(!is_applied || *granted_under == token, "a grant of a stale coordinator was applied");
+            assert!(
+                !is_applied || *granted_under == token,
+                "a grant of a coordinator without the lease was applied"
+            );
         }
         let begins = is_applied && matches!(command, Command::BeginStep { .. });
-        assert!(!(begins && is_halted), "a step began under a halt");
+        assert!(!(begins && is_halted), "a step began during a halt");
         self.log.push(LoggedCommand { command, release_lease: token });
     }
 
-    /// Commits every proposal in flight, the last one first.
+    /// Commits all proposals in flight, the last one first.
     pub fn commit_in_flight(&mut self) {
         while let Some(command) = self.in_flight.pop() {
             self.commit(command);
         }
     }
 
-    /// Plays an event and checks that no more front nodes are stopped than the budget allows.
+    /// Plays an event, then checks that no more front nodes are stopped than the budget allows.
     pub fn play(&mut self, event: &Event) {
         match event {
             Event::Round { members, left_in_flight } => self.play_round(*members, *left_in_flight),
@@ -195,17 +200,17 @@
                 self.lease = LeaseHolder { member: *member, token };
             }
             Event::RestartMember { member } => {
-                self.is_undisturbed = false;
+                self.is_without_crashes = false;
                 self.member(*member).restart(*member);
             }
             Event::AdvanceProcess { member } => self.advance_process(*member),
             Event::CrashProcess { member } => {
-                self.is_undisturbed = false;
+                self.is_without_crashes = false;
                 self.member(*member).process.end();
             }
             Event::FailQueries { member } => self.member(*member).process.counters.failed += 5,
             Event::DeclareUnreachable { member } => self.declare_unreachable(*member),
-            Event::Operators(command) => self.send_operator_command(*command),
+            Event::Operator(command) => self.send_operator_command(*command),
         }
         self.check_budget();
     }
@@ -232,7 +237,7 @@
     fn play_round(&mut self, members: u8, left_in_flight: usize) {
         self.now_ms += ROUND_MS;
         let takes_part = |id: &u64| members & (1 << id) != 0;
-        // Bit 0 stands for no member: it says whether the members read their logs slowly in this round.
+        // No member has the id 0: bit 0 says whether the members apply the log slowly in this round.
         let entries = if members & 1 == 0 { usize::MAX } else { SLOW_APPLY_ENTRIES };
         for id in (1..=NODES).filter(takes_part) {
             if self.is_stalled(id) {
@@ -269,7 +274,8 @@
         self.commit(command);
     }
 
-    /// Takes the proposal at `position`, counted round, out of those in flight.
+    /// Removes the proposal at `position`, modulo the number of proposals, from those in flight, and returns
+    /// it.
     fn take_proposal(&mut self, position: usize) -> Option<Command> {
         let in_flight = self.in_flight.len();
         (in_flight > 0).then(|| self.in_flight.remove(position % in_flight))
@@ -296,7 +302,7 @@
                 let to_version = if self.releases % 2 == 1 { "v2" } else { "v3" };
                 Command::Release { id, to_version: to_version.into() }
             }
-            OperatorCommand::Halt => Command::Halt { id, reason: "asked".into() },
+            OperatorCommand::Halt => Command::Halt { id, reason: "requested by the test".into() },
             OperatorCommand::Resume => Command::Resume { id },
             OperatorCommand::Rollback => Command::Rollback { id },
         };
@@ -308,7 +314,7 @@
         format!("op{}", self.operator_commands)
     }
 
-    /// The member applies up to `entries` further entries of the log.
+    /// Applies up to `entries` further entries of the log at the member `id`.
     pub fn apply(&mut self, id: u64, entries: usize) {
         let member = self.members.get_mut(&id).expect("a member of the fleet");
         for logged in self.log.iter().skip(member.applied).take(entries) {
@@ -339,11 +345,11 @@
     fn record_step_start(&mut self, start: StepStart) {
         let starts = self.step_starts.entry(start).or_default();
         *starts += 1;
-        assert!(*starts == 1 || !self.is_undisturbed, "a step was done twice");
+        assert!(*starts == 1 || !self.is_without_crashes, "a step was done twice");
     }
 
     pub fn poll_coordinator(&mut self, id: u64) {
-        // A member that lost the lease may go on for a while, under its old token.
+        // A member that has lost the lease may still act as coordinator for a while, with its old token.
         let token = if self.lease.member == id { self.lease.token } else { LOST_TOKEN };
         let now_ms = self.now_ms;
         let member = self.member(id);
@@ -351,9 +357,9 @@
         self.in_flight.extend(commands);
     }
 
-    /// Everything goes on in order, without disturbances, until nothing is left to do.
-    pub fn run_to_rest(&mut self) {
-        for round in 0..MAX_CALM_ROUNDS {
+    /// Runs the fleet without faults until it is idle.
+    pub fn run_without_faults(&mut self) {
+        for round in 0..MAX_ROUNDS_WITHOUT_FAULTS {
             self.play(&Event::AdvanceTime { ms: 20 });
             self.commit_in_flight();
             for member in 1..=NODES {
@@ -366,15 +372,17 @@
                 let id = self.next_operator_id();
                 self.commit(Command::Resume { id });
             }
-            if round > MIN_CALM_ROUNDS && self.is_at_rest() {
+            if round > MIN_ROUNDS_WITHOUT_FAULTS && self.is_idle() {
                 return;
             }
         }
         let nodes: Vec<_> = self.state.nodes().collect();
-        panic!("it never came to an end: {:?} {nodes:?}", self.state.release());
+        panic!("the fleet did not become idle: {:?} {nodes:?}", self.state.release());
     }
 
-    fn is_at_rest(&self) -> bool {
+    /// Returns whether no release is running, nothing is halted, no slot is held, and every front node
+    /// serves.
+    fn is_idle(&self) -> bool {
         let no_release_runs =
             self.state.release().is_none_or(|release| release.stage != ReleaseStage::Running);
         no_release_runs
--- a/crates/rollout/tests/random_histories/main.rs
+++ b/crates/rollout/tests/random_histories/main.rs
@@ -1,9 +1,10 @@
-//! Drains and releases under random orders of events: a log that loses, duplicates and reorders proposals, members that
-//! apply it late, agents that restart, coordinators that change, front nodes that end by themselves, halts.
+//! Releases under random sequences of events: proposals are lost, duplicated and reordered, members apply the
+//! log late, agents restart, the release lease moves to another member, front nodes crash, and operators
+//! halt, resume and roll back.
 //!
-//! Checked after each event: no more front nodes are stopped by their agents than the budget allows, no step begins
-//! under a halt, no grant of a stale coordinator is applied, no step is done twice. At the end the disturbances stop:
-//! every step ends and no slot is left.
+//! Checked after each event: agents have stopped no more front nodes than the budget allows, no step begins
+//! during a halt, no grant of a coordinator that has lost the lease is applied, and no step is done twice. At
+//! the end of each sequence, the fleet runs without faults until every step has ended and no slot is held.
 
 mod event;
 mod fleet;
@@ -15,7 +16,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same histories each time; `PINETRESTLE_ROLLOUT_CASES` plays more of them, `PINETRESTLE_ROLLOUT_SEED` others.
+/// Returns the settings for the random sequences. The seed is fixed, so each run plays the same sequences;
+/// `PINETRESTLE_ROLLOUT_CASES` sets how many, `PINETRESTLE_ROLLOUT_SEED` another seed.
 fn settings() -> ProptestConfig {
     let number = |name: &str, default: u64| {
         std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
@@ -46,7 +48,7 @@
         for event in &events {
             fleet.play(event);
         }
-        fleet.run_to_rest();
+        fleet.run_without_faults();
         if let Some(release) = fleet.state.release() {
             let target_version = release.target_version();
             prop_assert!(release.steps.values().all(|step| *step == StepState::Passed));
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn an_undisturbed_release_takes_every_front_node_through_within_the_budget() {
+fn a_release_without_faults_updates_every_front_node_within_the_budget() {
     let mut fleet = Fleet::new(2);
     for _ in 0..20 {
         fleet.play(&Event::AdvanceTime { ms: 20 });
@@ -70,10 +72,10 @@
     }
     fleet.commit(release("r"));
     assert_eq!(fleet.state.command_outcome("r"), Some(&Outcome::Applied));
-    fleet.run_to_rest();
+    fleet.run_without_faults();
     assert_eq!(fleet.state.release().unwrap().stage, ReleaseStage::Completed);
     assert_eq!(fleet.state.last_good_version(), "v2");
-    assert_eq!(fleet.max_slots_held, 2, "the budget of two was used, and no more");
+    assert_eq!(fleet.max_slots_held, 2, "the number of slots held at once differs from the budget");
     let all_run_v2 =
         fleet.members.values().all(|member| member.process.running_version.as_deref() == Some("v2"));
     assert!(all_run_v2);
--- a/crates/rollout/tests/random_histories/process.rs
+++ b/crates/rollout/tests/random_histories/process.rs
@@ -1,8 +1,8 @@
-//! A front node's process as it really is.
+//! The simulated process of a front node.
 
 use pinetrestle_rollout::{FrontNodeStatus, HealthCounters, ProcessAction};
 
-/// Queries a running front node answers each time its process advances.
+/// Number of queries that a running front node answers each time its process advances.
 const ANSWERED_PER_ADVANCE: u64 = 10;
 
 #[derive(Debug, Clone, Default)]
@@ -10,9 +10,10 @@
     pub running_version: Option<String>,
     pub ready: bool,
     pub counters: HealthCounters,
-    /// Its agent stopped it and it has not been ready since.
+    /// Whether the agent has stopped the process and the front node has not been ready since.
     pub stopped_by_agent: bool,
-    ending: bool,
+    /// Whether a graceful shutdown has begun.
+    terminating: bool,
 }
 
 impl Process {
@@ -28,9 +29,10 @@
         }
     }
 
-    /// One that ends is gone; one that runs is ready and answers queries.
+    /// Ends a process whose graceful shutdown has begun; otherwise a running process becomes ready and
+    /// answers queries.
     pub fn advance(&mut self) {
-        if self.ending {
+        if self.terminating {
             self.end();
         } else if self.running_version.is_some() {
             self.ready = true;
@@ -39,7 +41,7 @@
         }
     }
 
-    /// The process is gone, and its counters with it.
+    /// Ends the process and resets its counters.
     pub fn end(&mut self) {
         *self = Process { stopped_by_agent: self.stopped_by_agent, ..Process::default() };
     }
@@ -47,12 +49,12 @@
     pub fn carry_out(&mut self, action: ProcessAction) {
         match action {
             ProcessAction::Start(version) => {
-                assert!(self.running_version.is_none(), "a second front node beside one that runs");
+                assert!(self.running_version.is_none(), "a front node was started while one is running");
                 self.end();
                 self.running_version = Some(version);
             }
             ProcessAction::Terminate => {
-                self.ending = true;
+                self.terminating = true;
                 self.ready = false;
                 self.stopped_by_agent = true;
             }
--- a/crates/rollout/tests/rollout/agent.rs
+++ b/crates/rollout/tests/rollout/agent.rs
@@ -1,4 +1,4 @@
-//! The agent of one front node.
+//! Tests of the agent of a front node.
 
 use crate::fleet::Fleet;
 use pinetrestle_fleet::MemberId;
@@ -6,7 +6,7 @@
     Agent, AgentConfig, AgentOutput, Command, FrontNodeStatus, ProcessAction, StartPermission,
 };
 
-/// A front node that is ready if it runs.
+/// Returns the status of a front node that is ready if it runs.
 fn status(running_version: Option<&str>) -> FrontNodeStatus {
     FrontNodeStatus {
         running_version: running_version.map(String::from),
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_agent_that_proposed_its_target_serves_never_rolls_back_from_it() {
+fn an_agent_that_has_proposed_success_restarts_the_target_version_and_does_not_roll_back() {
     let mut fleet = Fleet::new();
     fleet.release("a", "v2");
     fleet.grant(1);
@@ -39,6 +39,7 @@
     let proposed = poll(300, Some("v2")).commands;
     let is_finished = |command: &Command| matches!(command, Command::StepFinished { .. });
     assert!(proposed.iter().any(is_finished), "{proposed:?}");
-    // The process ends before the proposal is known to be in the log. It may be, so the target is started again.
+    // The process ends before the agent sees the proposal applied. It may be in the log already, so the agent
+    // starts the target version again.
     assert_eq!(poll(550, None).action, Some(ProcessAction::Start("v2".into())));
 }
--- a/crates/rollout/tests/rollout/failure_detector.rs
+++ b/crates/rollout/tests/rollout/failure_detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector of the log's leader.
+//! Tests of the failure detector of the log's leader.
 
 use crate::fleet::Fleet;
 use pinetrestle_fleet::MemberId;
@@ -15,5 +15,8 @@
     }
     let commands = detector.poll(1_600, leader, &fleet.state);
     assert_eq!(commands, [Command::DeclareUnreachable { node: MemberId(4), report_seq: 1 }]);
-    assert!(detector.poll(1_610, leader, &fleet.state).is_empty(), "proposed just now");
+    assert!(
+        detector.poll(1_610, leader, &fleet.state).is_empty(),
+        "proposed again before the retry interval had passed"
+    );
 }
--- a/crates/rollout/tests/rollout/fleet.rs
+++ b/crates/rollout/tests/rollout/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of four front nodes and five index servers, and the commands that the tests apply to its state.
+//! The replicated state of a fleet of four front nodes and five index servers, and helpers to apply commands
+//! to it.
 
 use pinetrestle_fleet::{MemberId, Token};
 use pinetrestle_rollout::{
@@ -7,7 +8,7 @@
 
 /// The token of the release lease.
 pub const LEASE: Token = Token(9);
-/// The front nodes' ids.
+/// The ids of the front nodes.
 pub const NODES: std::ops::RangeInclusive<u64> = 1..=4;
 
 pub struct Fleet {
@@ -41,7 +42,8 @@
 }
 
 impl Fleet {
-    /// The plan is agreed, every front node has reported that it serves `v1`, every index server is up.
+    /// Creates a fleet with a plan in which every front node has reported that it serves `v1` and every index
+    /// server is up.
     pub fn new() -> Fleet {
         let mut fleet = Fleet { state: RolloutState::new(), index: 0 };
         assert_eq!(fleet.apply(Command::Configure(plan(1))), Outcome::Applied);
@@ -59,7 +61,7 @@
         self.state.apply(self.index, &command, Some(LEASE))
     }
 
-    /// The front node reports that it serves `version`.
+    /// Applies a report that the front node serves `version`.
     pub fn report(&mut self, node: u64, report_seq: u64, version: &str) -> Outcome {
         self.report_status(node, report_seq, version, true)
     }
@@ -97,7 +99,7 @@
         self.apply(Command::BeginStep { node: MemberId(node), slot_index })
     }
 
-    /// The step ends with counters that show no fault.
+    /// Ends the step with counters that show no fault.
     pub fn finish(&mut self, node: u64, slot_index: u64) -> Outcome {
         self.finish_with(node, slot_index, HealthCounters::default())
     }
@@ -106,7 +108,8 @@
         self.apply(Command::StepFinished { node: MemberId(node), slot_index, health })
     }
 
-    pub fn step_through(&mut self, node: u64) {
+    /// Applies a whole step of the front node, from the grant to its success.
+    pub fn pass_step(&mut self, node: u64) {
         assert_eq!(self.grant(node), Outcome::Applied);
         let slot_index = self.slot_index(node);
         assert_eq!(self.begin(node, slot_index), Outcome::Applied);
--- a/crates/rollout/tests/rollout/main.rs
+++ b/crates/rollout/tests/rollout/main.rs
@@ -1,5 +1,5 @@
-//! The parts of a rollout one by one: commands on releases and on index servers, the agent, the coordinator, the
-//! failure detector.
+//! Tests of the single parts of the crate: commands on releases and on index servers, the agent, the
+//! coordinator and the failure detector.
 
 mod agent;
 mod coordinator;
