--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,26 +1,37 @@
-//! A model check of the lease and fencing rules with stateright: every interleaving of two members that want one
-//! task's lease, the replicated table (in the log's order), a leader's expiry, a task sink, messages lost and
-//! delivered in any order, a member that crashes and restarts, a change of leader, and members that are stalled
-//! (take no step while time goes on). Time moves in steps of 100 ms; leases are 200 ms.
+//! A model check of the lease and fencing rules with stateright.
 //!
-//! Invariants: at most one member may act at any moment; the sink never admits a token lower than one it admitted.
-//! The second is shown to fail when the sink admits actions without the fence.
+//! The model covers every interleaving of two members that want the lease of one task, the replicated lease
+//! table, the expiry monitor of the leader, and a task sink on which the lease holder acts. Messages are lost
+//! or delivered in any order, a member crashes and restarts, the leader changes, and members are stalled
+//! (they do nothing while time passes). Time advances in steps of 100 ms; the time to live of a lease is 200
+//! ms.
+//!
+//! Invariants: at most one member may act at any time, and the sink never admits a token lower than one that
+//! it has admitted. A second test shows that the latter fails if the sink admits actions without the fence.
 
 use pinetrestle_fleet::{
     Command, ExpiryMonitor, Fence, LeaseHolder, LeaseTable, MemberId, Outcome, RequestId, Task, Token,
 };
 use stateright::{Checker, Model, Property};
 
+/// Length of a time step, in milliseconds.
 const STEP_MS: u64 = 100;
+/// Time at which the model ends, in milliseconds.
 const END_MS: u64 = 400;
+/// Time to live of a lease, in milliseconds.
 const TTL_MS: u64 = 200;
+/// Maximum number of messages in flight.
 const MAX_IN_FLIGHT: usize = 2;
+/// Maximum number of messages that are lost.
 const MAX_LOST: u8 = 1;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, PartialOrd, Ord)]
 enum Message {
+    /// A proposed command, to the log.
     Log(Command),
+    /// The outcome of a request, to the member that sent the request.
     Member(usize, RequestId, Outcome),
+    /// An action with the token of the acting member, to the task sink.
     Sink(Token),
 }
 
@@ -34,30 +45,44 @@
     incarnations: [u64; 2],
     in_flight: Vec<Message>,
     lost: u8,
+    /// Whether a member has crashed. At most one crash is modelled.
     crashed: bool,
+    /// Number of elections after the first. At most one is modelled.
     elections: u8,
     fence: Fence,
-    /// What each member and the leader did in this step of time already: poll, act, expire. At most once each in a step
-    /// bounds the states; a process does the same on a tick.
+    /// Which actions were done in the current time step: the polls of both members, an action on the sink by
+    /// each member, and the poll of the expiry monitor. Each is done at most once per time step, which bounds
+    /// the number of states. A real process also does each of them once per tick.
     done: [bool; 5],
     highest_admitted: Token,
+    /// Whether the sink has admitted a token lower than one that it had admitted before.
     stale_admitted: bool,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 enum Action {
+    /// A time step passes.
     Tick,
+    /// A member polls its lease holder.
     Poll(usize),
+    /// A member acts on the task sink.
     Act(usize),
+    /// The leader polls its expiry monitor.
     Expire,
+    /// The message at this position is delivered.
     Deliver(usize),
+    /// The message at this position is lost.
     Lose(usize),
+    /// A member crashes and restarts in a new incarnation.
     Crash(usize),
+    /// Another leader is elected.
     Elect,
 }
 
+/// The model of the lease and fencing rules.
 struct Leases {
-    fenced: bool,
+    /// Whether the task sink checks the token of each action with a fence.
+    has_fence: bool,
 }
 
 fn task() -> Task {
@@ -80,8 +105,8 @@
     type State = State;
     type Action = Action;
 
-    /// Member 0 holds the lease from time 0 (requested and granted at once), so that the few steps of time that the
-    /// checker can cover reach its expiry and a grant to the other member.
+    /// In the initial state, member 0 holds the lease since time 0. So its expiry and the grant to the other
+    /// member fit into the few time steps that the checker can cover.
     fn init_states(&self) -> Vec<State> {
         let mut table = LeaseTable::new();
         let mut members = [holder(0, 1), holder(1, 1)];
@@ -195,7 +220,7 @@
                     state.members[m].handle_outcome(now, request, &outcome)
                 }
                 Message::Sink(token) => {
-                    let admitted = !self.fenced || state.fence.admit(&task(), token).is_ok();
+                    let admitted = !self.has_fence || state.fence.admit(&task(), token).is_ok();
                     if admitted {
                         state.stale_admitted |= token < state.highest_admitted;
                         state.highest_admitted = state.highest_admitted.max(token);
@@ -224,14 +249,14 @@
 
 #[test]
 fn every_interleaving_has_at_most_one_acting_member_and_no_stale_token() {
-    let checker = Leases { fenced: true }.checker().threads(cores()).spawn_dfs().join();
+    let checker = Leases { has_fence: true }.checker().threads(cores()).spawn_dfs().join();
     eprintln!("states: {}", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
 fn without_the_fence_a_stale_token_is_admitted() {
-    let checker = Leases { fenced: false }.checker().threads(cores()).spawn_dfs().join();
+    let checker = Leases { has_fence: false }.checker().threads(cores()).spawn_dfs().join();
     let path = checker.assert_any_discovery("the sink admits no token lower than one it admitted");
     let steps = path.into_actions();
     eprintln!("counterexample of {} steps: {steps:?}", steps.len());
--- a/crates/fleet/tests/simulation.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -1,6 +1,9 @@
-//! A fleet simulated in milliseconds of real time: three members whose monotonic clocks run at different rates, a
-//! replicated log that applies commands late or loses them, leaders that change, members that are stalled for longer
-//! than a lease. Checked at every millisecond: at most one member may act; the fence admits no stale token.
+//! A simulation of a fleet in steps of one millisecond of real time: three members whose monotonic clocks run
+//! at different rates, a replicated log that applies commands late or loses them, changes of the leader, and
+//! members that are stalled for longer than the time to live of a lease.
+//!
+//! Counted in every step: how many members may act at the same time, and whether the fence admits a stale
+//! token.
 
 use pinetrestle_fleet::{
     Command, ExpiryMonitor, Fence, LeaseHolder, LeaseTable, MemberId, Outcome, RequestId, Task, Token,
@@ -9,50 +12,52 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Milliseconds of a lease.
+/// Time to live of a lease, in milliseconds.
 const TTL: u64 = 1_000;
 const MEMBERS: usize = 3;
-/// Milliseconds of a run.
+/// Length of a run, in milliseconds.
 const LENGTH: u64 = 60_000;
-/// Milliseconds for which a leader is stalled before another is elected.
+/// Time for which a leader has to be stalled before another member is elected, in milliseconds.
 const ELECTION: u64 = 300;
-/// Milliseconds that a message takes at most, unless it is delayed.
+/// Maximum delay of a message in milliseconds, unless it waits in a queue.
 const MAX_DELAY: u64 = 60;
 
-/// How the clocks are set for one run.
+/// How the members' clocks run.
 #[derive(Clone, Copy)]
 enum Clocks {
-    /// Each clock drawn at random, slower or faster than real time by at most these thousandths.
+    /// The rate of each clock is random. It is slower or faster than real time by at most this many
+    /// thousandths.
     Spread(u64),
-    /// Each member's clock rate in millionths of real time.
+    /// The rate of each member's clock, in millionths of real time.
     Rates([u64; MEMBERS]),
-    /// Rates as in `Spread`, and member 0's clock jumps now and then, forwards or back, by up to three leases.
+    /// The rates are as in `Spread`. In addition, the clock of member 0 jumps at random times, forwards or
+    /// back, by up to three times the time to live.
     Jumps(u64),
 }
 
 #[derive(Default, Debug)]
 struct Report {
-    /// Milliseconds in which more than one member might act.
+    /// Number of milliseconds in which more than one member was allowed to act.
     overlaps: u64,
-    /// Actions that the fence admitted with a token below one that it had admitted.
+    /// Number of actions that the fence admitted although it had admitted a higher token before.
     stale_admitted: u64,
-    /// Actions that the fence rejected.
+    /// Number of actions that the fence rejected.
     rejected: u64,
-    /// Leases granted by the table.
+    /// Number of leases that the table granted.
     grants: u64,
-    /// Actions that the fence admitted.
+    /// Number of actions that the fence admitted.
     actions: u64,
-    /// The longest stretch of real time in which no member might act, after the first grant.
+    /// The longest real time, in milliseconds, in which no member was allowed to act after the first grant.
     longest_gap: u64,
-    /// Jumps of a clock.
+    /// Number of jumps of a clock.
     jumps: u64,
 }
 
 struct Member {
     holder: LeaseHolder,
-    /// The local clock at real time 0.
+    /// The time on the member's clock at real time 0, in milliseconds.
     offset: u64,
-    /// The local clock's rate in millionths of real time.
+    /// The rate of the member's clock, in millionths of real time.
     rate_ppm: u64,
     stalled_until: u64,
 }
@@ -64,13 +69,13 @@
 }
 
 enum Event {
-    /// A command arrives at the log.
+    /// A command of a member arrives at the log.
     Propose(usize, Command),
-    /// An outcome arrives at a member.
+    /// The outcome of a request arrives at a member.
     Outcome(usize, RequestId, Outcome),
     /// An action arrives at the fence.
     Act(Token),
-    /// A member applies the end of a lease.
+    /// A member applies the release or expiry of a lease from the log.
     LeaseEnded(usize),
 }
 
@@ -88,7 +93,7 @@
     expiry: ExpiryMonitor,
     fence: Fence,
     highest_admitted: Token,
-    /// Events by their time and the order in which they were scheduled.
+    /// The scheduled events, by their time and then by the order in which they were scheduled.
     events: BTreeMap<(u64, u64), Event>,
     scheduled: u64,
     last_held: Option<u64>,
@@ -130,17 +135,17 @@
             self.deliver_events();
             self.expire_leases();
             let acting = self.poll_members();
-            self.check(acting);
+            self.record(acting);
         }
         self.report
     }
 
-    /// One time in so many.
+    /// Returns `true` with a probability of one in `count`.
     fn one_in(&mut self, count: u32) -> bool {
         self.random.random_range(0..count) == 0
     }
 
-    /// One message in ten is lost.
+    /// Returns whether a message is delivered. One message in ten is lost.
     fn is_delivered(&mut self) -> bool {
         self.random.random_range(0..10) > 0
     }
@@ -161,7 +166,7 @@
         self.expiry.become_leader(local, &self.table);
     }
 
-    /// Stalls a member now and then, for up to three leases.
+    /// Stalls a random member at random times, for up to three times the time to live.
     fn stall_a_member(&mut self) {
         if self.one_in(4_000) {
             let member = self.random.random_range(0..MEMBERS);
@@ -179,7 +184,8 @@
         }
     }
 
-    /// Changes the leader now and then, and always when it has been stalled for the time of an election.
+    /// Elects another leader at random times, and whenever the current one is stalled for longer than
+    /// [`ELECTION`].
     fn change_leader(&mut self) {
         let stalled_until = self.members[self.leader].stalled_until;
         let deposed = stalled_until > self.now + ELECTION && stalled_until != 0;
@@ -232,7 +238,7 @@
         self.expiry.observe(local, &self.table);
         let (Command::Acquire { request, .. } | Command::Release { request, .. }) = command else { return };
         if self.is_delivered() {
-            // Now and then an outcome is delayed in a queue for up to two leases.
+            // One outcome in 50 waits in a queue for up to twice the time to live.
             let max_delay = if self.one_in(50) { 2 * TTL } else { MAX_DELAY };
             self.schedule(max_delay, Event::Outcome(from, request, outcome));
         }
@@ -248,7 +254,7 @@
         self.highest_admitted = self.highest_admitted.max(token);
     }
 
-    /// The leader proposes to expire leases that were not renewed.
+    /// Lets the leader propose to expire leases that were not renewed.
     fn expire_leases(&mut self) {
         if self.is_stalled(self.leader) {
             return;
@@ -259,10 +265,10 @@
         }
     }
 
-    /// Each member requests, renews and acts; returns how many might act.
+    /// Lets each member request, renew and act under its lease. Returns the number of members that may act.
     ///
-    /// A member that checked its lease before it was stalled may still act when it goes on. That is what the fence is
-    /// for, and it does not count here: only members that check in this millisecond do.
+    /// Only members that check their lease in this millisecond are counted. A real member that is stalled
+    /// between its check and its action may act later than it should; the fence rejects such an action.
     fn poll_members(&mut self) -> usize {
         let mut acting = 0;
         for member in 0..MEMBERS {
@@ -285,7 +291,8 @@
         acting
     }
 
-    fn check(&mut self, acting: usize) {
+    /// Updates the report with the number of members that may act in this millisecond.
+    fn record(&mut self, acting: usize) {
         self.report.overlaps += u64::from(acting > 1);
         if acting > 0 {
             if let Some(last) = self.last_held {
@@ -321,12 +328,16 @@
         let report = run(seed, Clocks::Spread(9));
         assert_eq!(report.overlaps, 0, "seed {seed}: {report:?}");
         assert_eq!(report.stale_admitted, 0, "seed {seed}: {report:?}");
-        assert!(report.actions > 1_000, "seed {seed}: the lease was hardly held: {report:?}");
+        assert!(
+            report.actions > 1_000,
+            "seed {seed}: the lease was held too rarely for a meaningful test: {report:?}"
+        );
         grants += report.grants;
         gaps.push(report.longest_gap);
     }
-    assert!(grants > 40, "so few grants test little: {grants}");
-    // The longest gap is a stall of the holder: up to three leases, then the expiry delay and a grant.
+    assert!(grants > 40, "too few grants for a meaningful test: {grants}");
+    // The longest gap is caused by a stall of the holder: up to three times the time to live, followed by the
+    // expiry delay and the next grant.
     let bound = 3 * TTL + ExpiryMonitor::expiry_delay_ms(TTL) + TTL / 2;
     assert!(gaps.iter().all(|&gap| gap <= bound), "gaps {gaps:?} over {bound} ms");
 }
@@ -341,8 +352,8 @@
         overlaps += report.overlaps;
         rejected += report.rejected;
     }
-    assert!(overlaps > 0, "a clock at half speed never let two members act: the simulation shows nothing");
-    assert!(rejected > 0, "the fence rejected nothing");
+    assert!(overlaps > 0, "no two members acted at the same time, so the run does not test the fence");
+    assert!(rejected > 0, "the fence rejected no action");
 }
 
 #[test]
@@ -351,16 +362,20 @@
     for seed in 0..20 {
         let report = run(seed, Clocks::Jumps(9));
         assert_eq!(report.stale_admitted, 0, "seed {seed}: {report:?}");
-        assert!(report.actions > 1_000, "seed {seed}: the lease was hardly held: {report:?}");
+        assert!(
+            report.actions > 1_000,
+            "seed {seed}: the lease was held too rarely for a meaningful test: {report:?}"
+        );
         overlaps += report.overlaps;
         rejected += report.rejected;
         jumps += report.jumps;
     }
-    assert!(jumps > 400, "so few jumps test little: {jumps}");
-    // After a jump back on the holder, or forward on the leader, two members may act, and only the fence keeps their
-    // actions in order. If no run showed that, the jumps would test nothing.
+    assert!(jumps > 400, "too few jumps for a meaningful test: {jumps}");
+    // After the holder's clock has jumped back or the leader's clock has jumped forwards, two members may
+    // act, and only the fence prevents stale actions. If this never happened, the jumps would not test
+    // anything.
     assert!(
         overlaps > 0 && rejected > 0,
-        "the jumps changed nothing: {overlaps} overlaps, {rejected} rejected"
+        "the jumps had no effect: {overlaps} overlaps, {rejected} actions rejected"
     );
 }
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -1,4 +1,5 @@
-//! The lease table under random commands from a few members: its invariants after every one.
+//! Tests of the lease table: its invariants after each of a sequence of random commands of three members, and
+//! single cases of expiries, invalid requests and request ids.
 
 use pinetrestle_fleet::{Command, Fence, LeaseTable, MemberId, Outcome, Refusal, RequestId, Task, Token};
 use proptest::prelude::*;
@@ -8,26 +9,26 @@
     Task(format!("task-{t}"))
 }
 
-/// One random step. Two in three steps are new requests, the others copies of earlier ones.
+/// A random step. Two thirds of the steps are new requests, the others are copies of earlier commands.
 #[derive(Debug, Clone)]
 struct RandomStep {
-    /// 0: acquire, 1: release, 2: a copy of an earlier command.
+    /// 0 for an acquire, 1 for a release, 2 for a copy of an earlier command.
     kind: u8,
     member: u8,
     task: u8,
-    /// Whether an acquire names the token of the task's lease.
-    names_token: bool,
-    /// How many commands back a copy is taken from.
+    /// Whether an acquire carries the token of the task's current lease.
+    sends_token: bool,
+    /// Which earlier command a copy repeats, counted back from the last one.
     commands_back: u8,
 }
 
 fn random_step() -> impl Strategy<Value = RandomStep> {
     (0u8..3, 0u8..3, 0u8..2, any::<bool>(), 0u8..3).prop_map(
-        |(kind, member, task, names_token, commands_back)| RandomStep {
+        |(kind, member, task, sends_token, commands_back)| RandomStep {
             kind,
             member,
             task,
-            names_token,
+            sends_token,
             commands_back,
         },
     )
@@ -37,20 +38,23 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn grants_are_exclusive_tokens_grow_and_copies_change_nothing(steps in prop::collection::vec(random_step(), 1..80)) {
+    fn grants_are_exclusive_tokens_grow_and_copies_change_nothing(
+        steps in prop::collection::vec(random_step(), 1..80),
+    ) {
         let mut table = LeaseTable::new();
         let mut next_request: BTreeMap<u8, u64> = BTreeMap::new();
         let mut granted: BTreeMap<Task, Token> = BTreeMap::new();
         let mut sent: Vec<Command> = Vec::new();
         let mut index = 0;
-        for RandomStep { kind, member: m, task: t, names_token, commands_back } in steps {
+        for RandomStep { kind, member: m, task: t, sends_token, commands_back } in steps {
             let member = MemberId(u64::from(m));
             let counter = next_request.entry(m).or_insert(1);
             let command = match kind {
                 0 => {
-                    let held_token = if names_token { table.lease(&task(t)).map(|l| l.token) } else { None };
+                    let held_token = if sends_token { table.lease(&task(t)).map(|l| l.token) } else { None };
                     *counter += 1;
-                    Command::Acquire { task: task(t), member, request: RequestId(*counter), ttl_ms: 1_000, held_token }
+                    let request = RequestId(*counter);
+                    Command::Acquire { task: task(t), member, request, ttl_ms: 1_000, held_token }
                 }
                 1 => {
                     let token = table.lease(&task(t)).map_or(Token(0), |l| l.token);
@@ -65,9 +69,11 @@
             let before = table.clone();
             index += 1;
             let outcome = table.apply(index, &command);
-            // A copy of a member's last request gets its outcome again and changes nothing; an older one is refused.
+            // A copy of a member's last request for a task changes no lease; a request with a lower id is
+            // refused.
             if kind == 2 {
-                let (Command::Acquire { member, request, task, .. } | Command::Release { member, request, task, .. }) = &command
+                let (Command::Acquire { member, request, task, .. }
+                | Command::Release { member, request, task, .. }) = &command
                 else { unreachable!() };
                 if before.last_request(*member, task) == Some(*request) {
                     prop_assert_eq!(table.leases().collect::<Vec<_>>(), before.leases().collect::<Vec<_>>());
@@ -75,15 +81,16 @@
                     prop_assert_eq!(&outcome, &Outcome::Refused(Refusal::StaleRequest));
                 }
             }
-            // A grant has the log index as its token, above every earlier token of the task, and only for a free task
-            // or one that the member holds.
-            let replay = match &command {
-                Command::Acquire { member, request, task, .. } | Command::Release { member, request, task, .. } => {
+            // A lease is only granted if the task has none or if the member itself holds it. Its token is the
+            // log index, which is higher than every earlier token of the task.
+            let is_copy = match &command {
+                Command::Acquire { member, request, task, .. }
+                | Command::Release { member, request, task, .. } => {
                     before.last_request(*member, task) == Some(*request)
                 }
                 Command::Expire { .. } => false,
             };
-            if let (Outcome::Granted(token), false) = (&outcome, replay) {
+            if let (Outcome::Granted(token), false) = (&outcome, is_copy) {
                 let token = *token;
                 let Command::Acquire { task, member, .. } = &command else { unreachable!() };
                 prop_assert_eq!(token, Token(index));
@@ -91,7 +98,7 @@
                 prop_assert!(before.lease(task).is_none_or(|l| l.holder == *member));
                 granted.insert(task.clone(), token);
             }
-            // At most one lease for each task, and its token was granted.
+            // The token of each lease is the last one that was granted for its task.
             for (t, lease) in table.leases() {
                 prop_assert_eq!(Some(&lease.token), granted.get(t));
             }
@@ -101,7 +108,7 @@
 }
 
 #[test]
-fn an_expiry_ends_only_the_lease_it_names_and_only_without_a_later_renewal() {
+fn an_expiry_ends_only_the_lease_with_its_token_and_only_without_a_later_renewal() {
     let mut table = LeaseTable::new();
     let t = task(0);
     let acquire = |request, held_token| Command::Acquire {
@@ -142,7 +149,7 @@
 }
 
 #[test]
-fn invalid_requests_change_nothing_and_have_a_reason() {
+fn invalid_requests_are_refused_with_a_reason_and_change_nothing() {
     let mut table = LeaseTable::new();
     let acquire = |name: &str, ttl_ms, request| Command::Acquire {
         task: Task(name.into()),
@@ -179,8 +186,12 @@
     assert_eq!(
         table.apply(2, &acquire("b")),
         Outcome::Granted(Token(2)),
-        "handled as a copy of the other task's request"
+        "the request was handled as a copy of the request for the other task"
     );
     assert_eq!(table.leases().count(), 2);
-    assert_eq!(table.apply(3, &acquire("b")), Outcome::Granted(Token(2)), "a copy gets the first outcome");
+    assert_eq!(
+        table.apply(3, &acquire("b")),
+        Outcome::Granted(Token(2)),
+        "a copy of a request does not get the outcome of the request"
+    );
 }
--- a/crates/recovery/src/coordinator.rs
+++ b/crates/recovery/src/coordinator.rs
@@ -7,7 +7,8 @@
 
 /// A wave in which an admitted front node does not serve lasts this many times the normal minimum time.
 const STALLED_WAVE_FACTOR: u64 = 10;
-/// Lower bound in milliseconds for the time that [`STALLED_WAVE_FACTOR`] multiplies.
+/// The minimum time of a wave, in milliseconds, from which the duration of a stalled wave is computed if the
+/// configured minimum is lower.
 const MIN_STALLED_WAVE_BASE_MS: u64 = 1_000;
 
 /// The stage that the coordinator saw last, and when it first saw it, in milliseconds of the coordinator's
--- a/crates/recovery/src/state.rs
+++ b/crates/recovery/src/state.rs
@@ -9,7 +9,7 @@
 /// The size of the fleet divided by this is the maximum number of front nodes that a wave adds to the
 /// previous one.
 const WAVE_GROWTH_DIVISOR: u32 = 8;
-/// Lower bound for that maximum, for small fleets.
+/// In a small fleet, a wave may still add this many front nodes to the previous one.
 const MIN_WAVE_GROWTH_LIMIT: u32 = 2;
 
 /// The replicated state of the fleet's recovery from a power loss.
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -9,14 +9,14 @@
 use pinetrestle_fleet::{MemberId, RetryTimer, Token};
 use std::collections::BTreeMap;
 
-/// Identifies a slot of a front node.
+/// The key of a timer for the step under one slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SlotKey {
     node: MemberId,
     slot_index: u64,
 }
 
-/// Identifies a change of an index server's phase.
+/// The key of a timer for the ramp stage that one change of an index server's phase began.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ChangeKey {
     server: String,
@@ -105,32 +105,33 @@
     /// on which the next one is checked. A grant that no longer fits the budget when it is applied from the
     /// log is refused then.
     fn propose_grants(&mut self, poll: &Poll<'_>, release: &Release, commands: &mut Vec<Command>) {
-        let mut trial: Option<RolloutState> = None;
+        let mut simulated: Option<RolloutState> = None;
         for node in nodes_in_grant_order(poll.state, release) {
-            if !self.may_propose_grant(poll, trial.as_ref().unwrap_or(poll.state), node) {
+            if !self.may_propose_grant(poll, simulated.as_ref().unwrap_or(poll.state), node) {
                 continue;
             }
-            let trial = trial.get_or_insert_with(|| poll.state.clone());
+            let simulated = simulated.get_or_insert_with(|| poll.state.clone());
             // `may_propose_grant` checked the grant on this state, so it can't be refused.
-            let _ = trial.grant_slot(poll.state.applied_index() + 1, node);
+            let _ = simulated.grant_slot(poll.state.applied_index() + 1, node);
             if self.grant_retries.entry(node).or_default().fire_if_due(poll.now_ms) {
                 commands.push(Command::GrantSlot { token: poll.token, node });
             }
         }
     }
 
-    /// Returns whether to propose a slot for `node` in the state `trial`.
+    /// Returns whether to propose a slot for `node` in the state `simulated`, to which the grants proposed in
+    /// the same poll have been applied.
     ///
     /// A front node that does not serve may get a slot beyond the budget. It is proposed only after it has
     /// not served for as long as a step may take, so that it can recover without a step.
-    fn may_propose_grant(&self, poll: &Poll<'_>, trial: &RolloutState, node: MemberId) -> bool {
-        if trial.check_slot_grant(node).is_err() {
+    fn may_propose_grant(&self, poll: &Poll<'_>, simulated: &RolloutState, node: MemberId) -> bool {
+        if simulated.check_slot_grant(node).is_err() {
             return false;
         }
         let unready_since_ms = self.unready_since_ms.get(&node);
         let unready_too_long =
             unready_since_ms.is_some_and(|since_ms| poll.now_ms >= since_ms + poll.plan.step_timeout_ms);
-        unready_too_long || trial.check_budget(poll.plan, node).is_ok()
+        unready_too_long || simulated.check_budget(poll.plan, node).is_ok()
     }
 
     fn propose_ramp_stages(&mut self, poll: &Poll<'_>, commands: &mut Vec<Command>) {
