--- a/crates/standins/src/deployment.rs
+++ b/crates/standins/src/deployment.rs
@@ -1,12 +1,13 @@
-//! A small deployment: three cells of index servers, one class of any two of three parts (`any`), one that needs all
-//! parts (`all`), one with a second step (`steps`).
+//! Settings, endpoint lists and configuration files of a small deployment: index servers in three cells, and
+//! three query classes. A query of class `any` needs any two of three parts, one of class `all` needs every
+//! part, and one of class `steps` has a second step.
 
 use crate::servers::Server;
 use crate::shared::entry;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// The settings of the small deployment.
+/// Returns the settings of the small deployment.
 pub fn settings() -> Value {
     let class = |name: &str| {
         json!({"name": name, "aim": 800_000, "hard_limit": 3_000_000, "gain": 1.0, "late_worth": 0.3,
@@ -20,38 +21,42 @@
         "family_info": {"batch": 4, "positions": 3, "span": 1, "slabs": 9,
             "need_by_class": [0.66, 1.0, 1.0], "class_floor": [0.66, 1.0, 1.0],
             "partial_earns": [0.9, 0.9, 0.9], "second_step": [0, 0, 2]},
-        "permissions": {"cancel": true, "may_duplicate": true, "retry_after": true, "max_retry_after": 500_000,
-            "try_limit": 3, "most_held": 60, "conn_idle": 15_000_000, "connect_timeout": 250_000,
-            "streams_per_conn": 32},
+        "permissions": {"cancel": true, "may_duplicate": true, "retry_after": true,
+            "max_retry_after": 500_000, "try_limit": 3, "most_held": 60, "conn_idle": 15_000_000,
+            "connect_timeout": 250_000, "streams_per_conn": 32},
         "rules": {"cold_share": 0.3, "warm_within": 5_000_000, "tip_multiple": 3.0, "fall": 1_000_000,
             "must_ask_in": 10_000_000, "drain_grace": 1_000_000, "grace_to_answer": 20_000},
     })
 }
 
-/// Entries of index servers at these addresses, in turn of the three cells.
+/// Returns one endpoint list entry per address, named `s0`, `s1` and so on, and assigned to the three cells
+/// in turn.
 pub fn entries_at(addresses: impl Iterator<Item = SocketAddr>) -> Vec<Value> {
-    let each = addresses.enumerate();
-    each.map(|(n, address)| entry(&format!("s{n}"), &address.to_string(), n as u32 % 3)).collect()
+    addresses
+        .enumerate()
+        .map(|(n, address)| entry(&format!("s{n}"), &address.to_string(), n as u32 % 3))
+        .collect()
 }
 
-/// The entries of these index servers.
+/// Returns the endpoint list entries of the index servers, as [`entries_at`] does for their addresses.
 pub fn entries(servers: &[Server]) -> Vec<Value> {
     entries_at(servers.iter().map(|server| server.address))
 }
 
-/// A complete endpoint list at a version.
+/// Returns a complete endpoint list with the version `index`.
 pub fn endpoint_list(index: u64, entries: &[Value]) -> Value {
     json!({"index": index, "snapshot": true, "endpoints": entries})
 }
 
-/// A front node's configuration file.
+/// Returns the configuration file of a front node that listens at `listen`, watches the discovery service at
+/// `discovery` and starts with the endpoint list `known`.
 pub fn config_json(listen: &str, discovery: &str, known: &Value) -> Value {
     json!({"name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known,
            "settings": settings()})
 }
 
-/// Settings keys as the wire page has them, and the simulator's own keys for the same.
+/// Pairs of a settings key in the wire protocol's documentation and the simulator's key for the same setting.
 const SIMULATOR_KEYS: [(&str, &str); 24] = [
     ("hard_limit", "deadline"),
     ("projects", "tenants"),
@@ -79,7 +84,9 @@
     ("extra_per_request", "budget_share"),
 ];
 
-/// Settings as another deployment states them: these keys with aliases of its own, all others as the simulator has them.
+/// Returns the settings with other keys, as another deployment may name them: each key in `aliases` is
+/// replaced with its alias, then every other key that the simulator names differently with the simulator's
+/// key.
 pub fn with_setting_aliases(settings: &Value, aliases: &[(&str, &str)]) -> Value {
     let rename = |text: String, (from, to): &(&str, &str)| {
         text.replace(&format!("\"{from}\":"), &format!("\"{to}\":"))
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service: watches that send the endpoint list and its changes, and fail on demand.
+//! A discovery service: answers watches with the endpoint list and its changes, and fails on demand.
 
 use crate::shared::{read_head, WAIT_LIMIT};
 use serde_json::{json, Value};
@@ -9,83 +9,85 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A watch without a change sends an empty line this often.
+/// Interval of the empty lines that a watch sends while the list doesn't change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// How often a watch looks for a change.
+/// Interval at which a watch checks for a change of the list.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest wait of a call for the ones before it.
-const TURN_LIMIT: Duration = Duration::from_secs(2);
-/// Pause between the bytes of a list that never ends.
+/// Longest time that a watch request may wait for earlier ones under [`DiscoveryBehavior::OneAtATime`].
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between the bytes of a list under [`WatchFault::Trickling`].
 const TRICKLE_PAUSE: Duration = Duration::from_millis(100);
 
 const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// How it answers new watches.
+/// How the discovery service answers new watch requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryBehavior {
-    /// With the list and its changes.
+    /// Sends the list and its changes.
     Serving,
-    /// Not at all.
+    /// Sends nothing.
     Silent,
-    /// With a status of 503.
+    /// Answers with status 503.
     Unavailable,
-    /// With lines that are no list.
+    /// Sends a line that is not a list, now and at every change.
     InvalidLines,
-    /// With a list that is indented over many lines.
+    /// Sends the list as indented JSON over many lines.
     Indented,
-    /// By closing the connection in the middle of the head.
+    /// Closes the connection in the middle of the response head.
     ClosingWithinHead,
-    /// One call after the other, each after this time; one that has waited for 2 s gets a status of 503.
+    /// Serves requests one after the other and spends this time on each; a request that has waited for more
+    /// than 2 s for earlier ones is answered with status 503.
     OneAtATime(Duration),
 }
 
-/// How watches that are established fail while their connections stay open.
+/// How established watches fail. Except for [`WatchFault::Reset`], their connections stay open.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WatchFault {
-    /// They send nothing more.
+    /// Nothing more is sent.
     Silent,
-    /// They send half of a list and nothing more.
+    /// Half of a list is sent, then nothing more.
     HalfLine,
-    /// They send a list so slowly that it never ends.
+    /// A list is sent byte by byte and never completed.
     Trickling,
-    /// They are reset.
+    /// The connection is reset.
     Reset,
 }
 
-/// What all watches share.
+/// State shared by the service and all its watches.
 struct State {
     behavior: DiscoveryBehavior,
     /// Version of the list.
     index: u64,
     entries: Vec<Value>,
-    /// Watches begun so far.
-    watches: u64,
-    /// Counts calls of [`Discovery::close_watches`]: a watch begun at a lower count ends.
-    drops: u64,
-    /// Counts calls of [`Discovery::fail_watches`]: a watch begun at a lower count has the latest fault.
+    /// Watch requests received so far.
+    watch_count: u64,
+    /// Calls of [`Discovery::close_watches`] so far; a watch that was opened at a lower count ends.
+    closes: u64,
+    /// Calls of [`Discovery::fail_watches`] so far; a watch that was opened at a lower count fails with
+    /// `fault`.
     faults: u64,
     fault: WatchFault,
 }
 
 /// A discovery service.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address at which the service listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-/// One watch and what held when it was begun.
+/// A watch, with the state of the service when the watch was opened.
 struct Watch {
     stream: TcpStream,
     behavior: DiscoveryBehavior,
-    drops: u64,
+    closes: u64,
     faults: u64,
 }
 
-/// What a watch does next.
+/// The next action of a watch.
 enum Step {
-    /// The list has changed: send this text.
+    /// Send this text: the list has changed.
     Send(String),
     Wait,
     Fail(WatchFault),
@@ -93,81 +95,83 @@
 }
 
 impl Discovery {
-    /// Starts one with these entries at a port that the kernel picks.
+    /// Starts a discovery service with these list entries, at a port chosen by the kernel.
     pub fn start(entries: Vec<Value>) -> Discovery {
-        Discovery::start_on(TcpListener::bind("127.0.0.1:0").expect("a port"), entries)
+        Discovery::start_on(TcpListener::bind("127.0.0.1:0").expect("bind a loopback port"), entries)
     }
 
     pub(crate) fn start_on(listener: TcpListener, entries: Vec<Value>) -> Discovery {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("local address");
         let state = Arc::new(Mutex::new(State {
             behavior: DiscoveryBehavior::Serving,
             index: 1,
             entries,
-            watches: 0,
-            drops: 0,
+            watch_count: 0,
+            closes: 0,
             faults: 0,
             fault: WatchFault::Silent,
         }));
         let shared = state.clone();
-        let turns: Arc<Mutex<()>> = Arc::default();
+        let queue: Arc<Mutex<()>> = Arc::default();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let state = shared.clone();
-                let turns = turns.clone();
-                thread::spawn(move || Watch::accept(stream, &state)?.serve(&state, &turns));
+                let queue = queue.clone();
+                thread::spawn(move || Watch::accept(stream, &state)?.serve(&state, &queue));
             }
         });
         Discovery { address, state }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic")
+        self.state.lock().expect("lock not poisoned")
     }
 
-    /// From now on the watches that are established fail in this way; new ones are answered as before.
+    /// Makes all established watches fail; new watch requests are still answered by the current behavior.
     pub fn fail_watches(&self, fault: WatchFault) {
         let mut state = self.state();
         state.faults += 1;
         state.fault = fault;
     }
 
-    /// From now on it answers new watches in this way.
+    /// Sets how new watch requests are answered; established watches don't change.
     pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
         self.state().behavior = behavior;
     }
 
-    /// From now on the list has these entries, at a higher version.
+    /// Replaces the entries of the list and increments its version.
     pub fn set_entries(&self, entries: Vec<Value>) {
         let mut state = self.state();
         state.entries = entries;
         state.index += 1;
     }
 
-    /// Ends every established watch.
+    /// Closes the connections of all established watches.
     pub fn close_watches(&self) {
-        self.state().drops += 1;
+        self.state().closes += 1;
     }
 
-    /// Watches begun so far.
+    /// Returns the number of watch requests received so far.
     pub fn watch_count(&self) -> u64 {
-        self.state().watches
+        self.state().watch_count
     }
 }
 
 impl Watch {
-    /// Reads the call and counts it.
+    /// Reads the watch request and counts it; returns `None` if the connection ends before the request is
+    /// complete.
     fn accept(stream: TcpStream, state: &Mutex<State>) -> Option<Watch> {
         let mut reader = BufReader::new(stream.try_clone().ok()?);
         let head = read_head(&mut reader)?;
         assert!(head[0].starts_with("GET /registry/instances?watch=1&after="), "{}", head[0]);
-        let mut state = state.lock().expect("no panic");
-        state.watches += 1;
-        Some(Watch { stream, behavior: state.behavior, drops: state.drops, faults: state.faults })
+        let mut state = state.lock().expect("lock not poisoned");
+        state.watch_count += 1;
+        Some(Watch { stream, behavior: state.behavior, closes: state.closes, faults: state.faults })
     }
 
-    /// Answers until the watch ends.
-    fn serve(mut self, state: &Mutex<State>, turns: &Mutex<()>) -> Option<()> {
+    /// Answers the request until the watch ends. `queue` is held by the request that is being served under
+    /// [`DiscoveryBehavior::OneAtATime`].
+    fn serve(mut self, state: &Mutex<State>, queue: &Mutex<()>) -> Option<()> {
         match self.behavior {
             DiscoveryBehavior::Unavailable => self.stream.write_all(UNAVAILABLE).ok(),
             DiscoveryBehavior::Silent => {
@@ -177,8 +181,8 @@
             DiscoveryBehavior::ClosingWithinHead => {
                 self.stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Enc").ok()
             }
-            DiscoveryBehavior::OneAtATime(delay) => {
-                if !take_turn(turns, delay) {
+            DiscoveryBehavior::OneAtATime(service_time) => {
+                if !wait_for_service(queue, service_time) {
                     return self.stream.write_all(UNAVAILABLE).ok();
                 }
                 self.send_lists(state)
@@ -189,6 +193,7 @@
         }
     }
 
+    /// Sends the list, its changes and heartbeats until the watch ends or fails.
     fn send_lists(mut self, state: &Mutex<State>) -> Option<()> {
         self.stream.write_all(CHUNKED_HEAD).ok()?;
         let mut sent_index = 0;
@@ -213,8 +218,8 @@
     }
 
     fn next_step(&self, state: &Mutex<State>, sent_index: &mut u64) -> Step {
-        let state = state.lock().expect("no panic");
-        if state.drops != self.drops {
+        let state = state.lock().expect("lock not poisoned");
+        if state.closes != self.closes {
             return Step::End;
         }
         if state.faults != self.faults {
@@ -231,12 +236,12 @@
         }
     }
 
-    /// Sends a line in two chunks: a reader has to join them.
+    /// Sends a line in two HTTP chunks, so that the reader has to join them.
     fn send_line(&mut self, line: &str) -> Option<()> {
         let text = format!("{line}\n");
         let (first, second) = text.split_at(text.len() / 2);
-        for part in [first, second].iter().filter(|part| !part.is_empty()) {
-            write!(self.stream, "{:x}\r\n{part}\r\n", part.len()).ok()?;
+        for chunk in [first, second].iter().filter(|chunk| !chunk.is_empty()) {
+            write!(self.stream, "{:x}\r\n{chunk}\r\n", chunk.len()).ok()?;
         }
         Some(())
     }
@@ -257,7 +262,8 @@
                 }
             }
             WatchFault::Reset => {
-                // Unread bytes at the close would do it as well; without lingering it is certain.
+                // Closing with unread received bytes would send a reset as well; a linger time of zero always
+                // does.
                 SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).ok()?;
             }
         }
@@ -265,13 +271,14 @@
     }
 }
 
-/// Takes the time of one call after those before it; false without doing so where that was too long to wait for.
-fn take_turn(turns: &Mutex<()>, delay: Duration) -> bool {
-    let called = Instant::now();
-    let _turn = turns.lock().expect("no panic");
-    if called.elapsed() > TURN_LIMIT {
+/// Waits for the earlier requests, then sleeps for `service_time`. Returns false without sleeping if the wait
+/// took longer than [`QUEUE_TIMEOUT`].
+fn wait_for_service(queue: &Mutex<()>, service_time: Duration) -> bool {
+    let queued_at = Instant::now();
+    let _guard = queue.lock().expect("lock not poisoned");
+    if queued_at.elapsed() > QUEUE_TIMEOUT {
         return false;
     }
-    thread::sleep(delay);
+    thread::sleep(service_time);
     true
 }
--- a/crates/standins/src/front_node.rs
+++ b/crates/standins/src/front_node.rs
@@ -1,4 +1,4 @@
-//! The program under test.
+//! Front node processes under test: start, log, signals and exit.
 
 use crate::clients::Client;
 use crate::shared::{eventually, WAIT_LIMIT};
@@ -10,21 +10,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A running front node.
+/// A front node process; it is killed when this is dropped.
 pub struct FrontNode {
     child: Child,
-    /// Where it listens.
+    /// Address at which the front node listens.
     pub address: SocketAddr,
-    lines: Arc<Mutex<Vec<String>>>,
-    file: tempfile::TempPath,
+    log_lines: Arc<Mutex<Vec<String>>>,
+    config_file: tempfile::TempPath,
 }
 
-/// Starts a program that can't run: its exit code and its output.
+/// Starts a front node that is expected to exit during startup; returns its exit code and its output.
+/// `program` is the path of the executable.
+///
+/// A process that is still running after [`WAIT_LIMIT`] is killed and has no exit code.
 pub fn failed_start(program: &str, config: &Value) -> (Option<i32>, String) {
     failed_start_with_env(program, config, &[])
 }
 
-/// The same with further variables in the environment.
+/// Like [`failed_start`], with additional environment variables.
 pub fn failed_start_with_env(
     program: &str,
     config: &Value,
@@ -37,88 +40,90 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
+        .expect("start the front node");
     let end = Instant::now() + WAIT_LIMIT;
-    while child.try_wait().expect("it can be asked").is_none() && Instant::now() < end {
+    while child.try_wait().expect("query the process status").is_none() && Instant::now() < end {
         thread::sleep(Duration::from_millis(5));
     }
-    // One that serves all the same is ended here; it has no exit code then.
+    // Has no effect on a process that has exited.
     let _ = child.kill();
-    let output = child.wait_with_output().expect("it has ended");
+    let output = child.wait_with_output().expect("collect the output");
     let text = [output.stderr, output.stdout].concat();
     (output.status.code(), String::from_utf8_lossy(&text).into_owned())
 }
 
 fn write_config(config: &Value) -> tempfile::TempPath {
-    let mut file = tempfile::NamedTempFile::new().expect("a file");
-    file.write_all(config.to_string().as_bytes()).expect("written");
+    let mut file = tempfile::NamedTempFile::new().expect("create the configuration file");
+    file.write_all(config.to_string().as_bytes()).expect("write the configuration file");
     file.into_temp_path()
 }
 
 impl FrontNode {
-    /// Starts it and waits until its log names the address at which it listens.
+    /// Starts a front node and waits until its log reports the address at which it listens. `program` is the
+    /// path of the executable.
     pub fn start(program: &str, config: &Value) -> FrontNode {
         FrontNode::start_with_shell_setup("true", program, config)
     }
 
-    /// Starts it from a shell after this command.
+    /// Like [`FrontNode::start`], from a shell that runs `command` first, for instance to set limits or
+    /// variables. `program` may contain arguments.
     pub fn start_with_shell_setup(command: &str, program: &str, config: &Value) -> FrontNode {
-        let file = write_config(config);
+        let config_file = write_config(config);
         let mut child = Command::new("/bin/sh")
             .args(["-c", &format!("{command}; exec {program}")])
-            .env("RELAY_CONFIG", &file)
+            .env("RELAY_CONFIG", &config_file)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the program starts");
-        let output = child.stdout.take().expect("a pipe");
-        let lines = Arc::new(Mutex::new(Vec::new()));
-        let shared = lines.clone();
+            .expect("start the front node");
+        let output = child.stdout.take().expect("a pipe for stdout");
+        let log_lines = Arc::new(Mutex::new(Vec::new()));
+        let shared = log_lines.clone();
         thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                shared.lock().expect("no panic").push(line);
+                shared.lock().expect("lock not poisoned").push(line);
             }
         });
         let mut address = None;
-        eventually("the program says where it listens", || {
-            let lines = lines.lock().expect("no panic");
+        eventually("the front node logs its listen address", || {
+            let lines = log_lines.lock().expect("lock not poisoned");
             let line = lines.iter().find(|line| line.contains("msg=\"serving\""));
             address = line.and_then(|line| log_field(line, "listen")).and_then(|text| text.parse().ok());
             address.is_some()
         });
-        FrontNode { child, address: address.expect("an address"), lines, file }
+        FrontNode { child, address: address.expect("a listen address"), log_lines, config_file }
     }
 
-    /// Starts it and waits until it is ready.
+    /// Starts a front node and waits until it reports itself ready.
     pub fn start_ready(program: &str, config: &Value) -> FrontNode {
-        let program = FrontNode::start(program, config);
-        eventually("ready", || program.get("/health/ready").0 == 200);
-        program
+        let front_node = FrontNode::start(program, config);
+        eventually("ready", || front_node.get("/health/ready").0 == 200);
+        front_node
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Its configuration file.
+    /// Returns the path of the configuration file.
     pub fn config_file(&self) -> &std::path::Path {
-        &self.file
+        &self.config_file
     }
 
-    /// Sends a GET request for a path: status and body.
+    /// Sends a GET request for a path on a new connection; returns the status and the body of the response.
     pub fn get(&self, path: &str) -> (u16, String) {
         let answer = Client::connect(self.address).send(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
         (answer.status, answer.body)
     }
 
-    /// Its counters.
+    /// Returns the counters served at `/stats`.
     pub fn stats(&self) -> Value {
         serde_json::from_str(&self.get("/stats").1).expect("JSON")
     }
 
-    /// Close reasons of the connections of a side, as logged.
+    /// Returns the logged close reasons of connections of one side: `client`, `index_server` or `discovery`.
     pub fn close_reasons(&self, side: &str) -> Vec<String> {
-        let lines = self.lines.lock().expect("no panic");
+        let lines = self.log_lines.lock().expect("lock not poisoned");
         let ended = lines.iter().filter(|line| line.contains("msg=\"connection ended\""));
         ended
             .filter(|line| log_field(line, "side").as_deref() == Some(side))
@@ -126,30 +131,31 @@
             .collect()
     }
 
-    /// The lines of its log so far.
+    /// Returns the lines logged so far.
     pub fn log_lines(&self) -> Vec<String> {
-        self.lines.lock().expect("no panic").clone()
+        self.log_lines.lock().expect("lock not poisoned").clone()
     }
 
-    /// Its peak resident memory in kilobytes.
+    /// Returns the peak resident memory of the process in kilobytes.
     pub fn peak_memory_kb(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("a peak");
+        let path = format!("/proc/{}/status", self.child.id());
+        let status = std::fs::read_to_string(path).expect("read the process status");
+        let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("a VmHWM line");
         line.split_whitespace().nth(1).and_then(|word| word.parse().ok()).expect("a number")
     }
 
-    /// Sends it a signal, as `-USR1`.
+    /// Sends a signal to the process; `name` is an option of `kill(1)` such as `-USR1`.
     pub fn signal(&self, name: &str) {
-        let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
+        let pid = self.child.id().to_string();
+        assert!(Command::new("kill").args([name, &pid]).status().expect("run kill").success());
     }
 
-    /// Suspends it (SIGSTOP), as a machine that stalls does.
+    /// Suspends the process (SIGSTOP), which resembles a stalled machine.
     pub fn pause(&self) {
         self.signal("-STOP");
     }
 
-    /// Resumes it (SIGCONT).
+    /// Resumes the suspended process (SIGCONT).
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -159,88 +165,94 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the text of the configuration file, or removes the file, and requests a reload (SIGHUP).
+    /// Replaces the content of the configuration file, or removes the file if `text` is `None`, and requests
+    /// a reload (SIGHUP).
     pub fn reload(&self, text: Option<&str>) {
         match text {
-            Some(text) => std::fs::write(&self.file, text).expect("written"),
-            None => std::fs::remove_file(&self.file).expect("removed"),
+            Some(text) => std::fs::write(&self.config_file, text).expect("write the configuration file"),
+            None => std::fs::remove_file(&self.config_file).expect("removed"),
         }
         self.signal("-HUP");
     }
 
-    /// How many lines of the log contain all of these texts.
+    /// Counts the log lines that contain all of these texts.
     pub fn count_log_lines(&self, texts: &[&str]) -> usize {
         self.log_lines().iter().filter(|line| texts.iter().all(|text| line.contains(text))).count()
     }
 
-    /// Kills it (SIGKILL).
+    /// Kills the process (SIGKILL) and waits for its exit.
     pub fn kill(&mut self) {
-        self.child.kill().expect("killed");
-        self.child.wait().expect("ended");
+        self.child.kill().expect("kill the front node");
+        self.child.wait().expect("wait for the front node's exit");
     }
 
-    /// The exit code, once it has ended.
+    /// Waits for the process to exit; returns its exit code, or `None` if a signal ended it.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
-        let mut code = None;
-        eventually("the program ends", || {
-            code = self.child.try_wait().expect("it can be asked");
-            code.is_some()
+        let mut status = None;
+        eventually("the front node exits", || {
+            status = self.child.try_wait().expect("query the process status");
+            status.is_some()
         });
-        code.and_then(|code| code.code())
+        status.and_then(|status| status.code())
     }
 
-    /// Whether it has not ended.
+    /// Returns true while the process has not exited.
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("it can be asked").is_none()
+        self.child.try_wait().expect("query the process status").is_none()
     }
 }
 
 impl Drop for FrontNode {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The value of a key in a log line.
+/// Returns the value of a key in a log line, up to the next space.
 pub fn log_field(line: &str, key: &str) -> Option<String> {
     let from = line.find(&format!(" {key}="))? + key.len() + 2;
     let rest = &line[from..];
     Some(rest.split(' ').next().unwrap_or_default().to_owned())
 }
-/// A program whose log is read up to the line that names its address, and never again.
+
+/// A front node process whose log is read up to the line with its listen address and never again, so that the
+/// pipe fills up. The process is killed when this is dropped.
 pub struct FrontNodeWithUnreadLog {
     child: Child,
-    /// Where it listens.
+    /// Address at which the front node listens.
     pub address: SocketAddr,
     _output: BufReader<std::process::ChildStdout>,
-    _file: tempfile::TempPath,
+    _config_file: tempfile::TempPath,
 }
 
 impl FrontNodeWithUnreadLog {
-    /// Starts it and reads its log up to that line.
+    /// Starts a front node and reads its log up to the line with its listen address. `program` is the path of
+    /// the executable.
     pub fn start(program: &str, config: &Value) -> FrontNodeWithUnreadLog {
-        let file = write_config(config);
+        let config_file = write_config(config);
         let mut child = Command::new(program)
-            .env("RELAY_CONFIG", &file)
+            .env("RELAY_CONFIG", &config_file)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the program starts");
-        let mut output = BufReader::new(child.stdout.take().expect("a pipe"));
+            .expect("start the front node");
+        let mut output = BufReader::new(child.stdout.take().expect("a pipe for stdout"));
         let mut line = String::new();
         while !line.contains("msg=\"serving\"") {
             line.clear();
-            assert!(output.read_line(&mut line).expect("text") > 0, "it ended");
+            let length = output.read_line(&mut line).expect("text");
+            assert!(length > 0, "the front node's log ended before it was serving");
         }
-        let address = log_field(&line, "listen").and_then(|text| text.parse().ok()).expect("an address");
-        FrontNodeWithUnreadLog { child, address, _output: output, _file: file }
+        let address =
+            log_field(&line, "listen").and_then(|text| text.parse().ok()).expect("a listen address");
+        FrontNodeWithUnreadLog { child, address, _output: output, _config_file: config_file }
     }
 }
 
 impl Drop for FrontNodeWithUnreadLog {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,21 +1,29 @@
-//! Stand-ins for the outside systems of a front node, and the program under test.
+//! Stand-ins for the systems around a front node, and handles of front node processes under test.
 //!
-//! Written from the protocol page alone, with parsers of their own, so that a fault of the front node's parsers shows.
-//! Everything listens on 127.0.0.1 at a port that the kernel picks, runs on threads of its own and ends with the
-//! process. A library for tests and measurements, never a dependency of what is tested.
+//! The stand-ins are written from the protocol's documentation alone and have their own parsers, so that an
+//! error in the front node's parsers is detected instead of being repeated here. Every stand-in listens on
+//! 127.0.0.1 at a port chosen by the kernel, runs on its own threads and ends with the process. The library
+//! is for tests and measurements; the software under test must never depend on it.
 //!
-//! | stand-in | what it does |
-//! | --- | --- |
-//! | [`Discovery`] | sends the endpoint list and its changes over watches, or fails to ([`DiscoveryBehavior`], [`WatchFault`]) |
-//! | [`Server`] | an index server that answers at once, late, badly, or not at all ([`ServerBehavior`]) |
-//! | [`ReservedAddress`] | an address at which connections are refused until a stand-in is started there |
-//! | [`PendingAddress`] | an address at which connections come up a second late, or never |
-//! | [`TimestampingServer`] | an index server with bounded parts in flight per connection, service times, drain and warm-up, that stops reading on demand and stamps each frame when it is read ([`WorkProfile`]) |
-//! | [`Client`] | sends one query at a time |
-//! | [`SmallDeployment`] | six index servers, discovery and a front node |
-//! | [`settings`], [`config_json`] | a small deployment and its files |
-//! | [`Load`] | a balancer and its clients: sends to the front nodes that are ready, checks each query for one answer |
-//! | [`FrontNode`] | starts a front node, reads its log, sends it signals |
+//! A *query* is a client's HTTP request. The front node splits it into *parts*, one per shard, and sends them
+//! to index servers in *calls*: a call is one frame with one or more parts. An index server, or *server* for
+//! short, is a replica of the shards of its cell.
+//!
+//! - [`Discovery`]: a discovery service that sends the endpoint list and its changes to watches, or fails on
+//!   demand ([`DiscoveryBehavior`], [`WatchFault`]).
+//! - [`Server`]: an index server that answers immediately, late, incorrectly or not at all
+//!   ([`ServerBehavior`]).
+//! - [`TimestampingServer`]: an index server that records when it read each frame, and that can stop reading.
+//!   Concurrency limit, service times, drain and warm-up are set by its [`WorkProfile`].
+//! - [`ReservedAddress`]: an address that refuses connections until a stand-in is started there.
+//! - [`PendingAddress`]: an address at which connection attempts stay pending until a server is started
+//!   there.
+//! - [`Client`]: a client connection to a front node.
+//! - [`Load`]: a load balancer with its clients, which sends queries to the front nodes that are ready and
+//!   records each outcome.
+//! - [`FrontNode`]: a front node process, with its log and signals.
+//! - [`SmallDeployment`]: six index servers, discovery and a front node; its settings and configuration file
+//!   come from [`settings`] and [`config_json`].
 
 #![warn(missing_docs)]
 
--- a/crates/standins/src/received_part.rs
+++ b/crates/standins/src/received_part.rs
@@ -1,40 +1,46 @@
-//! The parts of a call as an index server has read them.
+//! The parts of a call as read by an index server.
+//!
+//! A call is one frame with one or more parts. Each part is a line of id, shard, attributes and length,
+//! separated by spaces, followed by a text of that length in bytes.
 
 use std::time::{Duration, Instant};
 
-/// A part as it was read.
+/// A part as read by an index server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedPart {
-    /// Its id.
+    /// Id of the part.
     pub id: String,
-    /// Its shard.
+    /// Shard that the part queries.
     pub shard: u32,
-    /// Its list of settings (`d=500,k=...`), as it stands in the part's line.
+    /// Attributes as written in the part's line: `d=500,k=...`. `d` is the time left in milliseconds.
     pub attributes: String,
-    /// The text it carries.
+    /// Text of the part.
     pub text: String,
-    /// When it was read.
+    /// When the part was read.
     pub read_at: Instant,
 }
 
 impl ReceivedPart {
-    /// The time that the front node states as left for the part.
+    /// Returns the time left until the part's deadline, as stated by the front node.
     ///
     /// # Panics
-    /// Where its list does not begin with that time.
+    /// If the attributes don't begin with the time left.
     pub fn time_left(&self) -> Duration {
-        let milliseconds = self.attributes.strip_prefix("d=").and_then(|list| list.split(',').next());
+        let milliseconds = self.attributes.strip_prefix("d=").and_then(|rest| rest.split(',').next());
         Duration::from_millis(milliseconds.expect("a time left").parse().expect("milliseconds"))
     }
 }
 
-/// Parses the parts of a call: for each a line of id, shard, list and length, then so many bytes of text.
+/// Parses the content of a call's frame.
+///
+/// # Panics
+/// If the content is malformed.
 pub(crate) fn parse_parts(mut rest: &[u8]) -> Vec<ReceivedPart> {
-    let at = Instant::now();
+    let read_at = Instant::now();
     let mut parts = Vec::new();
     while !rest.is_empty() {
-        let line_end = rest.iter().position(|byte| *byte == b'\n').expect("a line");
-        let line = std::str::from_utf8(&rest[..line_end]).expect("text");
+        let line_end = rest.iter().position(|byte| *byte == b'\n').expect("a line end");
+        let line = std::str::from_utf8(&rest[..line_end]).expect("a UTF-8 line");
         let fields: Vec<&str> = line.split(' ').collect();
         assert_eq!(fields.len(), 4, "{line}");
         let length: usize = fields[3].parse().expect("a length");
@@ -44,8 +50,8 @@
             id: fields[0].into(),
             shard: fields[1].parse().expect("a shard"),
             attributes: fields[2].into(),
-            text: String::from_utf8(text.to_vec()).expect("text"),
-            read_at: at,
+            text: String::from_utf8(text.to_vec()).expect("a UTF-8 text"),
+            read_at,
         });
         rest = &rest[text_end..];
     }
--- a/crates/standins/src/server_behavior.rs
+++ b/crates/standins/src/server_behavior.rs
@@ -1,34 +1,34 @@
-//! How an index server answers calls, and what that means for one call.
+//! How an index server answers calls, and the action on the connection that results for a call.
 
 use crate::received_part::ReceivedPart;
 use crate::shared::frame;
 use std::time::Duration;
 
-/// Bytes at the end of an answer that are left out where it ends or stalls early.
+/// Number of bytes that are left out at the end of an incomplete answer.
 const MISSING_BYTES: usize = 3;
-/// Length of the garbage after an answer, in bytes.
+/// Number of invalid bytes that follow an answer under [`ServerBehavior::AppendingGarbage`].
 const GARBAGE_BYTES: usize = 64;
 
-/// What an index server does with a call.
+/// How an index server responds to a call, a frame with one or more parts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerBehavior {
     /// Answers each part with a value.
     Serving,
-    /// The same after this time; it reads on meanwhile.
+    /// Answers each part with a value after this time, and goes on reading meanwhile.
     ServingAfter(Duration),
     /// Reads parts and answers none.
     Silent,
     /// Answers nothing on its first connections, this many, and serves on later ones.
     SilentOnFirst(u64),
-    /// Answers with an error.
+    /// Answers each part with an error.
     Failing,
-    /// Rejects parts.
+    /// Rejects each part.
     Rejecting,
-    /// Closes the connection once it has read a frame.
+    /// Closes the connection after reading a call.
     ClosingAfterFrame,
-    /// Sends bytes that are no frame.
+    /// Sends bytes that are not a valid frame.
     SendingInvalidFrame,
-    /// Answers a part that was never sent.
+    /// Answers a part that was never sent to it.
     AnsweringUnknownPart,
     /// Closes the connection in the middle of an answer.
     ClosingWithinAnswer,
@@ -36,25 +36,25 @@
     StallingWithinAnswer,
     /// Sends every answer twice.
     AnsweringTwice,
-    /// Answers, then sends garbage.
+    /// Answers, then sends bytes that are not a valid frame.
     AppendingGarbage,
     /// Answers, then closes the connection.
     ClosingAfterAnswer,
-    /// Answers with an error after this time; it reads nothing meanwhile.
+    /// Answers each part with an error after this time, and reads nothing meanwhile.
     FailingAfter(Duration),
     /// Resets the connection after this time.
     ResettingAfter(Duration),
     /// Closes the connection after this many bytes of an answer.
     ClosingAfterBytes(usize),
-    /// Sends an answer so slowly that it never ends.
+    /// Sends an answer byte by byte and doesn't complete it.
     Trickling,
 }
 
-/// What is done on a connection for one call.
+/// What a server does on a connection in response to a call.
 pub(crate) enum Action {
     Nothing,
     Send(Vec<u8>),
-    /// Send after the delay and read on meanwhile.
+    /// Send after the delay and go on reading meanwhile.
     SendLater {
         delay: Duration,
         bytes: Vec<u8>,
@@ -68,12 +68,13 @@
     Reset {
         delay: Duration,
     },
-    /// Begin an answer and go on byte by byte without an end.
+    /// Begin an answer and send it byte by byte without completing it.
     Trickle,
 }
 
 impl ServerBehavior {
-    /// The action for a call with these parts on the connection of this number, counted from 1.
+    /// Returns the action for a call with these parts. `connection` is the number of its connection, counted
+    /// from 1.
     pub(crate) fn action(&self, parts: &[ReceivedPart], connection: u64) -> Action {
         match self {
             ServerBehavior::Serving => Action::Send(answers(parts)),
@@ -81,19 +82,19 @@
             ServerBehavior::Silent => Action::Nothing,
             ServerBehavior::SilentOnFirst(count) if connection <= *count => Action::Nothing,
             ServerBehavior::SilentOnFirst(_) => Action::Send(answers(parts)),
-            ServerBehavior::Failing => Action::Send(refusals(parts, "E")),
+            ServerBehavior::Failing => Action::Send(answers_without_value(parts, "E")),
             ServerBehavior::FailingAfter(delay) => {
-                Action::SendAfterPause { delay: *delay, bytes: refusals(parts, "E") }
+                Action::SendAfterPause { delay: *delay, bytes: answers_without_value(parts, "E") }
             }
-            ServerBehavior::Rejecting => Action::Send(refusals(parts, "B")),
+            ServerBehavior::Rejecting => Action::Send(answers_without_value(parts, "B")),
             ServerBehavior::ClosingAfterFrame => Action::SendAndClose(Vec::new()),
-            ServerBehavior::ClosingWithinAnswer => Action::SendAndClose(cut_answers(parts)),
+            ServerBehavior::ClosingWithinAnswer => Action::SendAndClose(incomplete_answers(parts)),
             ServerBehavior::ClosingAfterAnswer => Action::SendAndClose(answers(parts)),
             ServerBehavior::ClosingAfterBytes(count) => {
                 Action::SendAndClose(answers(parts)[..*count].to_vec())
             }
             ServerBehavior::ResettingAfter(delay) => Action::Reset { delay: *delay },
-            ServerBehavior::StallingWithinAnswer => Action::Send(cut_answers(parts)),
+            ServerBehavior::StallingWithinAnswer => Action::Send(incomplete_answers(parts)),
             ServerBehavior::AnsweringTwice => Action::Send(answers(parts).repeat(2)),
             ServerBehavior::AppendingGarbage => {
                 Action::Send([answers(parts), vec![0xff; GARBAGE_BYTES]].concat())
@@ -105,17 +106,18 @@
     }
 }
 
-/// One answer frame per part, each with a value.
+/// Encodes one answer frame per part, each with a value.
 fn answers(parts: &[ReceivedPart]) -> Vec<u8> {
     parts.iter().flat_map(|part| answer(part, "S", &format!("value of {}", part.id))).collect()
 }
 
-/// One answer frame per part with this status (`E`: error, `B`: rejected) and no value.
-fn refusals(parts: &[ReceivedPart], status: &str) -> Vec<u8> {
+/// Encodes one answer frame per part with this status (`E`: error, `B`: rejected) and no value.
+fn answers_without_value(parts: &[ReceivedPart], status: &str) -> Vec<u8> {
     parts.iter().flat_map(|part| answer(part, status, "")).collect()
 }
 
-fn cut_answers(parts: &[ReceivedPart]) -> Vec<u8> {
+/// Encodes the answers without the last [`MISSING_BYTES`].
+fn incomplete_answers(parts: &[ReceivedPart]) -> Vec<u8> {
     let mut bytes = answers(parts);
     bytes.truncate(bytes.len() - MISSING_BYTES);
     bytes
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -1,4 +1,4 @@
-//! An index server that answers at once, late, badly, or not at all.
+//! An index server that answers immediately, late, incorrectly or not at all.
 
 use crate::received_part::{parse_parts, ReceivedPart};
 use crate::server_behavior::{Action, ServerBehavior};
@@ -9,32 +9,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// Pause between the bytes of an answer that never ends.
+/// Pause between the bytes of an answer under [`ServerBehavior::Trickling`].
 const TRICKLE_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the connections of one index server share.
+/// State shared by all connections of an index server.
 struct State {
     behavior: ServerBehavior,
     received: Vec<ReceivedPart>,
-    /// Ids of the parts that were cancelled.
+    /// Ids of the parts whose cancellation was received.
     cancelled: Vec<String>,
-    /// Connections accepted so far.
-    connections: u64,
-    /// Those that are open, and some that were.
+    /// Number of connections accepted so far.
+    accepted_connections: u64,
+    /// Streams of the connections; a connection that has ended may still have an entry.
     streams: Vec<Weak<Mutex<TcpStream>>>,
 }
 
-/// An index server.
+/// An index server; clones refer to the same server.
 #[derive(Clone)]
 pub struct Server {
-    /// Where it listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 /// One connection of an index server.
 struct Connection {
-    /// Counted from 1.
+    /// Position in the order of acceptance, counted from 1.
     number: u64,
     reader: BufReader<TcpStream>,
     writer: Arc<Mutex<TcpStream>>,
@@ -42,18 +42,18 @@
 }
 
 impl Server {
-    /// Starts one at a port that the kernel picks.
+    /// Starts an index server at a port chosen by the kernel.
     pub fn start(behavior: ServerBehavior) -> Server {
-        Server::start_on(TcpListener::bind("127.0.0.1:0").expect("a port"), behavior)
+        Server::start_on(TcpListener::bind("127.0.0.1:0").expect("bind a loopback port"), behavior)
     }
 
     pub(crate) fn start_on(listener: TcpListener, behavior: ServerBehavior) -> Server {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("local address");
         let state = Arc::new(Mutex::new(State {
             behavior,
             received: Vec::new(),
             cancelled: Vec::new(),
-            connections: 0,
+            accepted_connections: 0,
             streams: Vec::new(),
         }));
         let shared = state.clone();
@@ -61,9 +61,9 @@
             for stream in listener.incoming().map_while(Result::ok) {
                 let state = shared.clone();
                 let number = {
-                    let mut state = shared.lock().expect("no panic");
-                    state.connections += 1;
-                    state.connections
+                    let mut state = shared.lock().expect("lock not poisoned");
+                    state.accepted_connections += 1;
+                    state.accepted_connections
                 };
                 thread::spawn(move || Connection::open(stream, state, number)?.serve());
             }
@@ -72,36 +72,36 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic")
+        self.state.lock().expect("lock not poisoned")
     }
 
-    /// From now on calls are answered in this way.
+    /// Sets how the following calls are answered.
     pub fn set_behavior(&self, behavior: ServerBehavior) {
         self.state().behavior = behavior;
     }
 
-    /// Closes all its connections, between two frames.
+    /// Closes all connections, never in the middle of a frame that the server writes.
     pub fn close_connections(&self) {
         let streams: Vec<_> = self.state().streams.drain(..).collect();
         for stream in streams.iter().filter_map(Weak::upgrade) {
-            // One that has ended before needs no end.
-            let _ = stream.lock().expect("no panic").shutdown(Shutdown::Both);
+            // Fails if the connection has already ended.
+            let _ = stream.lock().expect("lock not poisoned").shutdown(Shutdown::Both);
         }
     }
 
-    /// All parts received so far.
+    /// Returns the parts received so far.
     pub fn received(&self) -> Vec<ReceivedPart> {
         self.state().received.clone()
     }
 
-    /// Ids of the parts that were cancelled.
+    /// Returns the ids of the parts whose cancellation was received.
     pub fn cancelled_parts(&self) -> Vec<String> {
         self.state().cancelled.clone()
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn accepted_connections(&self) -> u64 {
-        self.state().connections
+        self.state().accepted_connections
     }
 }
 
@@ -109,23 +109,23 @@
     fn open(stream: TcpStream, state: Arc<Mutex<State>>, number: u64) -> Option<Connection> {
         let reader = BufReader::new(stream.try_clone().ok()?);
         let writer = Arc::new(Mutex::new(stream));
-        state.lock().expect("no panic").streams.push(Arc::downgrade(&writer));
+        state.lock().expect("lock not poisoned").streams.push(Arc::downgrade(&writer));
         Some(Connection { number, reader, writer, state })
     }
 
-    /// Serves until the connection ends.
+    /// Reads frames and responds to them until the connection ends.
     fn serve(mut self) -> Option<()> {
         loop {
             let body = self.read_frame()?;
             if body[0] == b'2' {
-                let id = String::from_utf8(body[1..].to_vec()).expect("an id");
-                self.state.lock().expect("no panic").cancelled.push(id);
+                let id = String::from_utf8(body[1..].to_vec()).expect("a UTF-8 part id");
+                self.state.lock().expect("lock not poisoned").cancelled.push(id);
                 continue;
             }
             assert_eq!(body[0], b'1');
             let parts = parse_parts(&body[1..]);
             let behavior = {
-                let mut state = self.state.lock().expect("no panic");
+                let mut state = self.state.lock().expect("lock not poisoned");
                 state.received.extend(parts.clone());
                 state.behavior.clone()
             };
@@ -133,7 +133,8 @@
         }
     }
 
-    /// The letter and the content of the next frame.
+    /// Reads the next frame and returns its body: the letter of the frame's type and the content. Returns
+    /// `None` if the connection ends.
     fn read_frame(&mut self) -> Option<Vec<u8>> {
         let mut length = [0; 4];
         self.reader.read_exact(&mut length).ok()?;
@@ -142,7 +143,7 @@
         Some(body)
     }
 
-    /// Does this; none where the connection is over after it.
+    /// Performs an action; returns `None` if the connection has to end or has ended.
     fn perform(&self, action: Action) -> Option<()> {
         match action {
             Action::Nothing => Some(()),
@@ -158,7 +159,7 @@
             Action::SendAndClose(bytes) => self.send_and_close(&bytes),
             Action::Reset { delay } => {
                 thread::sleep(delay);
-                let writer = self.writer.lock().expect("no panic");
+                let writer = self.writer.lock().expect("lock not poisoned");
                 SockRef::from(&*writer).set_linger(Some(Duration::ZERO)).ok()?;
                 None
             }
@@ -167,28 +168,28 @@
     }
 
     fn send(&self, bytes: &[u8]) -> Option<()> {
-        self.writer.lock().expect("no panic").write_all(bytes).ok()
+        self.writer.lock().expect("lock not poisoned").write_all(bytes).ok()
     }
 
     fn send_later(&self, delay: Duration, bytes: Vec<u8>) {
         let writer = self.writer.clone();
         thread::spawn(move || {
             thread::sleep(delay);
-            // The front node may have closed the connection meanwhile.
-            let _ = writer.lock().expect("no panic").write_all(&bytes);
+            // Fails if the front node has closed the connection meanwhile.
+            let _ = writer.lock().expect("lock not poisoned").write_all(&bytes);
         });
     }
 
     fn send_and_close(&self, bytes: &[u8]) -> Option<()> {
-        let mut writer = self.writer.lock().expect("no panic");
+        let mut writer = self.writer.lock().expect("lock not poisoned");
         writer.write_all(bytes).ok()?;
         writer.shutdown(Shutdown::Both).ok()?;
         None
     }
 
-    /// Begins a frame of 32 KiB and sends it byte by byte until the other side closes.
+    /// Begins a frame of 32 KiB and sends it byte by byte until the front node closes the connection.
     fn trickle(&self) -> Option<()> {
-        let mut writer = self.writer.lock().expect("no panic");
+        let mut writer = self.writer.lock().expect("lock not poisoned");
         writer.write_all(&[0, 0, 0x80, 0, b'5']).ok()?;
         loop {
             writer.write_all(b"x").ok()?;
--- a/crates/standins/src/small_deployment.rs
+++ b/crates/standins/src/small_deployment.rs
@@ -4,20 +4,25 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// All of them, on loopback.
+/// Six index servers, discovery and a front node, all on loopback.
 pub struct SmallDeployment {
     /// The index servers.
     pub servers: Vec<Server>,
-    /// Discovery, which tells them.
+    /// The discovery service, which lists all index servers.
     pub discovery: Discovery,
-    /// The front node, ready.
+    /// The front node, ready to serve.
     pub program: FrontNode,
 }
 
 impl SmallDeployment {
-    /// Index servers that do this, and a front node with something changed in its configuration.
-    pub fn start(program: &str, doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
-        let servers: Vec<Server> = (0..6).map(|_| Server::start(doing.clone())).collect();
+    /// Starts a deployment and waits until the front node is ready. `program` is the path of the front node's
+    /// executable; `change` may edit the front node's configuration.
+    pub fn start(
+        program: &str,
+        behavior: &ServerBehavior,
+        change: impl FnOnce(&mut Value),
+    ) -> SmallDeployment {
+        let servers: Vec<Server> = (0..6).map(|_| Server::start(behavior.clone())).collect();
         let discovery = Discovery::start(entries(&servers));
         let known = endpoint_list(1, &entries(&servers));
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
@@ -26,17 +31,17 @@
         SmallDeployment { servers, discovery, program }
     }
 
-    /// Where the front node listens.
+    /// Returns the address at which the front node listens.
     pub fn address(&self) -> SocketAddr {
         self.program.address
     }
 
-    /// A client of it.
+    /// Connects a client to the front node.
     pub fn client(&self) -> Client {
         Client::connect(self.address())
     }
 
-    /// Parts that index servers were sent.
+    /// Counts the parts that the index servers have received so far.
     pub fn received(&self) -> usize {
         self.servers.iter().map(|server| server.received().len()).sum()
     }
--- a/crates/standins/src/timestamping_server.rs
+++ b/crates/standins/src/timestamping_server.rs
@@ -1,8 +1,11 @@
-//! An index server that can stop reading, and stamps each frame when it is read.
+//! An index server that records when it read each frame, and that can stop reading.
 //!
-//! It has a bounded number of parts in flight on a connection, cancelled ones included that run on; what is beyond that
-//! waits unread. Stopped, it neither accepts nor reads, and finishes the parts in flight: whatever comes meanwhile waits
-//! in the kernel, as with a machine that hangs.
+//! The number of parts in flight on a connection is limited; cancelled parts count if the cancellation
+//! doesn't stop their processing. While a connection is at the limit, its further frames stay unread in the
+//! kernel's buffers.
+//!
+//! A server that has stopped reading accepts no connections, reads no frames, and finishes the parts in
+//! flight. New connections and frames wait in the kernel, as they do at a machine that hangs.
 
 use crate::received_part::{parse_parts, ReceivedPart};
 use crate::shared::frame;
@@ -14,34 +17,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest sleep of the thread that answers, without an answer that is due earlier.
-const LONGEST_SLEEP: Duration = Duration::from_millis(50);
-/// Its shortest sleep.
-const SHORTEST_SLEEP: Duration = Duration::from_micros(100);
+/// Sleep of the answering thread while no answer is scheduled.
+const IDLE_SLEEP: Duration = Duration::from_millis(50);
+/// Shortest sleep of the answering thread.
+const MIN_SLEEP: Duration = Duration::from_micros(100);
 
-/// How parts are processed.
+/// How a [`TimestampingServer`] processes parts.
 #[derive(Clone, Debug)]
 pub struct WorkProfile {
-    /// Parts in flight on one connection at once; what is beyond waits unread.
+    /// Limit of the parts in flight on one connection; at the limit, no further frame is read from the
+    /// connection.
     pub max_parts_per_connection: usize,
-    /// How long a part takes: the times are used one after the other, over and over.
+    /// Processing times of parts, used in order and repeated from the start; must not be empty.
     pub service_times: Vec<Duration>,
-    /// A cancelled part is stopped and frees its place; otherwise it runs on and is not answered.
+    /// Whether a cancelled part stops immediately. Otherwise it stays in flight for its full service time. It
+    /// is not answered in either case.
     pub cancel_stops_work: bool,
-    /// Time that the first frame of a connection waits before it is read.
+    /// Time between the arrival of a connection's first bytes and the read of its first frame.
     pub handshake: Duration,
-    /// Slower work after the start.
+    /// Longer service times after the start of the server.
     pub warm_up: WarmUp,
-    /// Parts are rejected.
+    /// Whether new parts are rejected.
     pub draining: bool,
 }
 
-/// Slower work of a server that has just started.
+/// Longer service times of a server that has just started.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
-    /// How long after the start it lasts.
+    /// Duration of the warm-up, from the start of the server.
     pub duration: Duration,
-    /// By how much parts take longer meanwhile.
+    /// Factor by which service times are multiplied during the warm-up.
     pub factor: u32,
 }
 
@@ -58,48 +63,48 @@
     }
 }
 
-/// A frame as it was read.
+/// A frame as read by the server.
 #[derive(Clone, Debug)]
 pub struct ReceivedFrame {
-    /// When its last byte was read.
+    /// When the last byte of the frame was read.
     pub read_at: Instant,
-    /// On which connection, counted from 1.
+    /// Number of the connection, in the order of acceptance from 1.
     pub connection: u64,
-    /// The parts of a call; none for a cancel.
+    /// The parts if the frame is a call; empty for a cancellation.
     pub parts: Vec<ReceivedPart>,
-    /// The id of the part that a cancel names.
+    /// The id of the cancelled part if the frame is a cancellation.
     pub cancelled: Option<String>,
 }
 
 /// A part in flight.
-struct RunningPart {
+struct PartInFlight {
     connection: u64,
     cancelled: bool,
 }
 
-/// An answer in the queue; ordered by time, then by part.
+/// An answer to be sent at a later time; ordered by that time, then by part.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct DueAnswer {
-    at: Instant,
+struct ScheduledAnswer {
+    due_at: Instant,
     id: String,
     shard: u32,
 }
 
 struct State {
-    work: WorkProfile,
+    profile: WorkProfile,
     started_at: Instant,
-    /// Neither accepts nor reads.
+    /// Whether the server has stopped accepting connections and reading frames.
     stopped: bool,
     frames: Vec<ReceivedFrame>,
-    /// Parts in flight by their id.
-    running: HashMap<String, RunningPart>,
-    due: BinaryHeap<Reverse<DueAnswer>>,
-    /// Open connections by their number.
+    /// Parts in flight, by id.
+    in_flight: HashMap<String, PartInFlight>,
+    scheduled: BinaryHeap<Reverse<ScheduledAnswer>>,
+    /// Open connections, by number.
     streams: HashMap<u64, TcpStream>,
-    /// Connections accepted so far.
-    connections: u64,
-    /// Parts begun so far.
-    parts_begun: usize,
+    /// Number of connections accepted so far.
+    accepted_connections: u64,
+    /// Number of parts begun so far.
+    begun_parts: usize,
 }
 
 struct Shared {
@@ -109,95 +114,96 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic")
+        self.state.lock().expect("lock not poisoned")
     }
 
-    /// Waits until a condition holds.
+    /// Waits until a condition holds; returns the locked state.
     fn wait_until(&self, holds: impl Fn(&State) -> bool) -> MutexGuard<'_, State> {
-        self.changed.wait_while(self.lock(), |state| !holds(state)).expect("no panic")
+        self.changed.wait_while(self.lock(), |state| !holds(state)).expect("lock not poisoned")
     }
 }
 
-/// An index server that stamps each frame when it is read.
+/// An index server that records when it read each frame; clones refer to the same server.
 #[derive(Clone)]
 pub struct TimestampingServer {
-    /// Where it listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl TimestampingServer {
-    /// Starts one.
-    pub fn start(work: WorkProfile) -> TimestampingServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+    /// Starts a server at a port chosen by the kernel.
+    pub fn start(profile: WorkProfile) -> TimestampingServer {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+        let address = listener.local_addr().expect("local address");
         let state = State {
-            work,
+            profile,
             started_at: Instant::now(),
             stopped: false,
             frames: Vec::new(),
-            running: HashMap::new(),
-            due: BinaryHeap::new(),
+            in_flight: HashMap::new(),
+            scheduled: BinaryHeap::new(),
             streams: HashMap::new(),
-            connections: 0,
-            parts_begun: 0,
+            accepted_connections: 0,
+            begun_parts: 0,
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
         let acceptor = shared.clone();
-        thread::spawn(move || accept(&listener, &acceptor));
+        thread::spawn(move || accept_connections(&listener, &acceptor));
         let answerer = shared.clone();
-        thread::spawn(move || answer_due_parts(&answerer));
+        thread::spawn(move || send_due_answers(&answerer));
         TimestampingServer { address, shared }
     }
 
-    /// Changes how it works from now on.
+    /// Changes how the following parts are processed.
     pub fn update_profile(&self, change: impl FnOnce(&mut WorkProfile)) {
-        change(&mut self.shared.lock().work);
+        change(&mut self.shared.lock().profile);
         self.shared.changed.notify_all();
     }
 
-    /// From now on it neither accepts nor reads.
+    /// Stops accepting connections and reading frames; parts in flight are still answered.
     pub fn stop_reading(&self) {
         self.shared.lock().stopped = true;
     }
 
-    /// It accepts and reads again, beginning with what has waited.
+    /// Accepts connections and reads frames again, beginning with those that arrived meanwhile.
     pub fn resume_reading(&self) {
         self.shared.lock().stopped = false;
         self.shared.changed.notify_all();
     }
 
-    /// All frames read so far.
+    /// Returns the frames read so far.
     pub fn received(&self) -> Vec<ReceivedFrame> {
         self.shared.lock().frames.clone()
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn accepted_connections(&self) -> u64 {
-        self.shared.lock().connections
+        self.shared.lock().accepted_connections
     }
 }
 
-/// Accepts connections, each on a thread of its own, as long as the process runs.
-fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
+/// Accepts connections until the process ends, and serves each on its own thread.
+fn accept_connections(listener: &TcpListener, shared: &Arc<Shared>) {
     loop {
         drop(shared.wait_until(|state| !state.stopped));
         let Ok((stream, _)) = listener.accept() else { return };
-        // One that came while it was stopped has waited in the kernel's queue.
+        // The server may have been stopped while `accept` was waiting; the connection is served once it
+        // resumes.
         let mut state = shared.wait_until(|state| !state.stopped);
-        state.connections += 1;
-        let number = state.connections;
+        state.accepted_connections += 1;
+        let number = state.accepted_connections;
         if let Ok(writer) = stream.try_clone() {
             state.streams.insert(number, writer);
         }
         drop(state);
         let shared = shared.clone();
         thread::spawn(move || {
-            // However it ends, the connection is over.
+            // An error ends the connection as an orderly close does.
             let _ = serve(stream, &shared, number);
             let mut state = shared.lock();
             state.streams.remove(&number);
-            state.running.retain(|_, part| part.connection != number);
+            state.in_flight.retain(|_, part| part.connection != number);
             shared.changed.notify_all();
         });
     }
@@ -205,25 +211,25 @@
 
 /// Reads the frames of a connection until it ends.
 fn serve(mut stream: TcpStream, shared: &Shared, number: u64) -> std::io::Result<()> {
-    let handshake = shared.lock().work.handshake;
+    let handshake = shared.lock().profile.handshake;
     stream.peek(&mut [0])?;
     thread::sleep(handshake);
     loop {
-        // Bytes are there before the state is checked, so that a stop counts for whatever comes after it.
+        // Waits for bytes before it checks the state, so that frames that arrive after a stop stay unread.
         if stream.peek(&mut [0])? == 0 {
             return Ok(());
         }
         drop(shared.wait_until(|state| {
-            let in_flight = state.running.values().filter(|part| part.connection == number).count();
-            !state.stopped && in_flight < state.work.max_parts_per_connection
+            let in_flight = state.in_flight.values().filter(|part| part.connection == number).count();
+            !state.stopped && in_flight < state.profile.max_parts_per_connection
         }));
         let body = read_frame(&mut stream)?;
-        shared.lock().take_frame(&body, number);
+        shared.lock().process_frame(&body, number);
         shared.changed.notify_all();
     }
 }
 
-/// The letter and the content of the next frame.
+/// Reads the next frame and returns its body: the letter of the frame's type and the content.
 fn read_frame(stream: &mut TcpStream) -> std::io::Result<Vec<u8>> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
@@ -232,72 +238,75 @@
     Ok(body)
 }
 
-/// Answers what is due, as long as the process runs.
-fn answer_due_parts(shared: &Shared) {
+/// Sends each answer when it is due, until the process ends.
+fn send_due_answers(shared: &Shared) {
     let mut state = shared.lock();
     loop {
         let now = Instant::now();
-        while let Some(Reverse(answer)) = state.due.peek().cloned() {
-            if answer.at > now {
+        while let Some(Reverse(answer)) = state.scheduled.peek().cloned() {
+            if answer.due_at > now {
                 break;
             }
-            state.due.pop();
+            state.scheduled.pop();
             state.send_answer(&answer);
         }
-        let until_next = state.due.peek().map(|Reverse(answer)| answer.at.saturating_duration_since(now));
-        let sleep = until_next.unwrap_or(LONGEST_SLEEP).max(SHORTEST_SLEEP);
+        let until_next =
+            state.scheduled.peek().map(|Reverse(answer)| answer.due_at.saturating_duration_since(now));
+        let sleep = until_next.unwrap_or(IDLE_SLEEP).max(MIN_SLEEP);
         shared.changed.notify_all();
-        state = shared.changed.wait_timeout(state, sleep).expect("no panic").0;
+        state = shared.changed.wait_timeout(state, sleep).expect("lock not poisoned").0;
     }
 }
 
 impl State {
-    /// Takes in a frame that has just been read on a connection.
-    fn take_frame(&mut self, body: &[u8], connection: u64) {
-        let at = Instant::now();
-        let mut frame = ReceivedFrame { read_at: at, connection, parts: Vec::new(), cancelled: None };
+    /// Records a frame that has just been read on a connection, and begins or cancels its parts.
+    fn process_frame(&mut self, body: &[u8], connection: u64) {
+        let read_at = Instant::now();
+        let mut frame = ReceivedFrame { read_at, connection, parts: Vec::new(), cancelled: None };
         if body[0] == b'2' {
-            let id = String::from_utf8(body[1..].to_vec()).expect("an id");
+            let id = String::from_utf8(body[1..].to_vec()).expect("a UTF-8 part id");
             self.cancel(&id);
             frame.cancelled = Some(id);
         } else {
             assert_eq!(body[0], b'1');
             frame.parts = parse_parts(&body[1..]);
             for part in &frame.parts {
-                self.begin(part, connection, at);
+                self.begin(part, connection, read_at);
             }
         }
         self.frames.push(frame);
     }
 
+    /// Cancels a part; a part that is not in flight is ignored.
     fn cancel(&mut self, id: &str) {
-        if self.work.cancel_stops_work {
-            self.running.remove(id);
-        } else if let Some(part) = self.running.get_mut(id) {
+        if self.profile.cancel_stops_work {
+            self.in_flight.remove(id);
+        } else if let Some(part) = self.in_flight.get_mut(id) {
             part.cancelled = true;
         }
     }
 
+    /// Begins a part and schedules its answer, or rejects it if the server is draining.
     fn begin(&mut self, part: &ReceivedPart, connection: u64, now: Instant) {
-        if self.work.draining {
+        if self.profile.draining {
             self.send(connection, &frame(b'5', format!("{} B 0 -\n", part.id).as_bytes()));
             return;
         }
-        let times = &self.work.service_times;
-        let mut service_time = times[self.parts_begun % times.len()];
-        self.parts_begun += 1;
-        if now.duration_since(self.started_at) < self.work.warm_up.duration {
-            service_time *= self.work.warm_up.factor;
+        let times = &self.profile.service_times;
+        let mut service_time = times[self.begun_parts % times.len()];
+        self.begun_parts += 1;
+        if now.duration_since(self.started_at) < self.profile.warm_up.duration {
+            service_time *= self.profile.warm_up.factor;
         }
-        self.running.insert(part.id.clone(), RunningPart { connection, cancelled: false });
-        let answer = DueAnswer { at: now + service_time, id: part.id.clone(), shard: part.shard };
-        self.due.push(Reverse(answer));
+        self.in_flight.insert(part.id.clone(), PartInFlight { connection, cancelled: false });
+        let answer = ScheduledAnswer { due_at: now + service_time, id: part.id.clone(), shard: part.shard };
+        self.scheduled.push(Reverse(answer));
     }
 
-    /// Sends an answer unless its part was cancelled or its connection is closed.
-    fn send_answer(&mut self, answer: &DueAnswer) {
+    /// Sends an answer unless its part was cancelled or its connection has ended.
+    fn send_answer(&mut self, answer: &ScheduledAnswer) {
         let id = &answer.id;
-        if let Some(part) = self.running.remove(id).filter(|part| !part.cancelled) {
+        if let Some(part) = self.in_flight.remove(id).filter(|part| !part.cancelled) {
             let text = format!("{id} S {} -\nvalue of {id}", answer.shard);
             self.send(part.connection, &frame(b'5', text.as_bytes()));
         }
--- a/crates/standins/tests/reserved_address.rs
+++ b/crates/standins/tests/reserved_address.rs
@@ -1,16 +1,16 @@
-//! A reserved address: what tests with a server that is down rest on.
+//! Reserved addresses: tests rely on them for index servers and discovery services that are down.
 
 use pinetrestle_standins::{Client, Discovery, ReservedAddress, ServerBehavior};
 use std::io::ErrorKind;
 use std::net::{TcpListener, TcpStream};
 
 #[test]
-fn a_reserved_address_refuses_connections_until_a_stand_in_is_started_there() {
+fn reserved_address_refuses_connections_until_a_stand_in_is_started_there() {
     let reserved = ReservedAddress::reserve();
     let address = reserved.address;
     for _ in 0..3 {
-        let refused = TcpStream::connect(address).expect_err("nobody listens");
-        assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
+        let error = TcpStream::connect(address).expect_err("no listener");
+        assert_eq!(error.kind(), ErrorKind::ConnectionRefused);
     }
     let server = reserved.start_server(ServerBehavior::Serving);
     assert_eq!(server.address, address);
@@ -29,20 +29,21 @@
 }
 
 #[test]
-fn the_kernel_gives_a_reserved_port_to_nobody_who_asks_for_a_free_one() {
+fn kernel_does_not_choose_a_reserved_port_for_other_sockets() {
     let reserved = ReservedAddress::reserve();
     let listeners: Vec<TcpListener> =
-        (0..500).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
-    let taken = |listener: &TcpListener| listener.local_addr().expect("an address") == reserved.address;
-    assert!(!listeners.iter().any(taken));
+        (0..500).map(|_| TcpListener::bind("127.0.0.1:0").expect("bind a free port")).collect();
+    let is_reserved =
+        |listener: &TcpListener| listener.local_addr().expect("local address") == reserved.address;
+    assert!(!listeners.iter().any(is_reserved));
 }
 
 #[test]
-fn a_program_may_listen_at_an_address_that_is_reserved_for_it() {
+fn process_under_test_may_listen_at_a_reserved_address() {
     let reserved = ReservedAddress::reserve();
-    let listener = TcpListener::bind(reserved.address).expect("the reserved address");
+    let listener = TcpListener::bind(reserved.address).expect("bind the reserved address");
     TcpStream::connect(reserved.address).expect("a connection");
     drop(listener);
-    let refused = TcpStream::connect(reserved.address).expect_err("nobody listens");
-    assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
+    let error = TcpStream::connect(reserved.address).expect_err("no listener");
+    assert_eq!(error.kind(), ErrorKind::ConnectionRefused);
 }
