--- a/crates/faultnet/src/flow.rs
+++ b/crates/faultnet/src/flow.rs
@@ -1,35 +1,36 @@
-//! What a fault does to one direction of one connection: a pure decision.
+//! How a fault affects one direction of a connection, decided without I/O.
 
 use crate::Fault;
 
 /// A direction of a connection through the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From the side that connected towards the target.
+    /// From the client of the proxy to the target.
     Forward,
-    /// From the target back.
+    /// From the target to the client of the proxy.
     Backward,
 }
 
-/// What happens to the next chunk.
+/// What the proxy does with the next chunk of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flow {
-    /// Read it and pass it after so many milliseconds (0: at once).
+    /// Read the chunk and forward it after this many milliseconds.
     Pass(u64),
     /// Read nothing until the fault changes.
     Hold,
-    /// End the connection.
+    /// Close the connection.
     Close,
 }
 
 impl Flow {
-    /// The flow of `direction` under `fault`; `jitter` is a draw in `0..=jitter_ms`.
-    pub fn of(fault: Fault, direction: Direction, jitter: u64) -> Flow {
+    /// Returns what to do with the next chunk in `direction` under `fault`. `jitter_ms` is the random part of
+    /// the delay; it is used for [`Fault::Delay`] only and must be at most its `jitter_ms`.
+    pub fn of(fault: Fault, direction: Direction, jitter_ms: u64) -> Flow {
         match (fault, direction) {
             (Fault::Heal, _) | (Fault::OneWay, Direction::Forward) => Flow::Pass(0),
             (Fault::Drop, _) => Flow::Close,
             (Fault::Stall, _) | (Fault::OneWay, Direction::Backward) => Flow::Hold,
-            (Fault::Delay { ms, .. }, _) => Flow::Pass(ms + jitter),
+            (Fault::Delay { ms, .. }, _) => Flow::Pass(ms + jitter_ms),
         }
     }
 }
--- a/crates/faultnet/src/lib.rs
+++ b/crates/faultnet/src/lib.rs
@@ -1,17 +1,19 @@
-//! A TCP proxy for tests with several processes: each [`Proxy`] listens on loopback, forwards every connection to
-//! one target, subject to the [`Fault`] it is set to.
+//! A TCP proxy that injects network faults between processes on loopback, for tests with several processes.
+//! Each [`Proxy`] listens on an address and forwards every connection to one target, subject to its current
+//! [`Fault`].
 //!
-//! | fault | connections open | new connections | bytes |
+//! | fault | open connections | new connections | bytes |
 //! | --- | --- | --- | --- |
-//! | [`Fault::Heal`] | kept | taken | forwarded |
-//! | [`Fault::Drop`] | closed at once | closed at once | none |
-//! | [`Fault::Stall`] | kept | taken | held both ways (neither side's bytes are read) |
-//! | [`Fault::OneWay`] | kept | taken | forwarded towards the target, held back from it |
-//! | [`Fault::Delay`] | kept | taken | forwarded, each chunk after the delay and a seeded jitter |
+//! | [`Fault::Heal`] | kept | accepted | forwarded |
+//! | [`Fault::Drop`] | closed immediately | closed immediately | none |
+//! | [`Fault::Stall`] | kept | accepted | neither direction is read |
+//! | [`Fault::OneWay`] | kept | accepted | forwarded to the target; the target's bytes aren't read |
+//! | [`Fault::Delay`] | kept | accepted | forwarded, each chunk after the delay plus a random jitter |
 //!
-//! Held bytes stay in the kernel's buffers and flow again on heal, as after a stall of a real link. Bounds: at
-//! most [`MAX_CONNECTIONS`] at once (more are closed at once), chunks of [`MAX_CHUNK_BYTES`] bytes. Every change of fault
-//! and every end of a connection is logged with its reason.
+//! Bytes that aren't read stay in the kernel's buffers and are forwarded once the fault is healed, as after a
+//! stall of a real link. A proxy forwards at most [`MAX_CONNECTIONS`] connections at once and closes further
+//! ones immediately; it reads at most [`MAX_CHUNK_BYTES`] at a time. Every change of the fault is logged, and
+//! every end of a connection with its reason.
 
 #![warn(missing_docs)]
 
@@ -21,27 +23,30 @@
 pub use flow::{Direction, Flow};
 pub use proxy::Proxy;
 
-/// Most connections that one proxy forwards at once.
+/// Limit of the connections that a proxy forwards at once.
 pub const MAX_CONNECTIONS: usize = 64;
-/// Most bytes read at a time.
+/// Size of the read buffer of one direction, in bytes.
 pub const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// The fault of a proxy's link.
+/// The fault that a proxy injects into its link.
+///
+/// The log contains the variant names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// None: bytes pass.
+    /// No fault: bytes are forwarded.
     Heal,
-    /// The link is down: every connection is closed, new ones too.
+    /// The link is down: open and new connections are closed.
     Drop,
-    /// Nothing passes either way; connections stay open.
+    /// No bytes are forwarded in either direction; connections stay open.
     Stall,
-    /// Bytes pass towards the target only.
+    /// Bytes are forwarded to the target only; connections stay open.
     OneWay,
-    /// Bytes pass late.
+    /// Bytes are forwarded after a delay.
     Delay {
-        /// Milliseconds each chunk waits.
+        /// Least delay of a chunk in milliseconds.
         ms: u64,
-        /// Up to this many milliseconds more, drawn from the proxy's seed.
+        /// Upper bound of the random additional delay in milliseconds; the proxy's seed determines the random
+        /// numbers.
         jitter_ms: u64,
     },
 }
--- a/crates/faultnet/src/proxy.rs
+++ b/crates/faultnet/src/proxy.rs
@@ -1,4 +1,5 @@
-//! The proxy's sockets: thin pumps that ask [`Flow::of`] before each chunk.
+//! The sockets of a proxy. Each direction of a connection is copied in chunks, and [`Flow::of`] decides
+//! before each chunk what to do.
 
 use crate::flow::{Direction, Flow};
 use crate::{Fault, MAX_CHUNK_BYTES, MAX_CONNECTIONS};
@@ -14,18 +15,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Pause after a connection that could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Longest wait for a connection to the target.
+/// Connect timeout of the connection to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Spreads the numbers of connections over seeds (2^64 divided by the golden ratio).
+/// Multiplier that turns consecutive connection numbers into different seeds (2^64 divided by the golden
+/// ratio).
 const SEED_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// One proxy, running on the tokio runtime it was started on, until dropped.
+/// A proxy that runs on the tokio runtime on which it was started, until dropped.
 pub struct Proxy {
     addr: SocketAddr,
     fault: watch::Sender<Fault>,
-    /// In the log lines.
+    /// Value of the key `proxy` in log lines.
     name: String,
     log: Logger,
     task: tokio::task::JoinHandle<()>,
@@ -39,10 +41,11 @@
 }
 
 impl Proxy {
-    /// Listens on `listen` (port 0 for a free one) and forwards to `target`. `seed` decides the jitter of delays.
+    /// Starts a proxy that listens on `listen`, where port 0 selects a free port, and forwards to `target`.
+    /// `seed` determines the jitter of [`Fault::Delay`].
     ///
     /// # Errors
-    /// When `listen` can't be bound.
+    /// Returns an error if `listen` can't be bound.
     pub async fn start(
         name: &str,
         listen: SocketAddr,
@@ -54,21 +57,21 @@
         let addr = listener.local_addr()?;
         let (fault, fault_changes) = watch::channel(Fault::Heal);
         let log = log.new(slog::o!("proxy" => name.to_owned()));
-        let task = tokio::spawn(accept(listener, target, fault_changes, seed, log.clone()));
+        let task = tokio::spawn(accept_connections(listener, target, fault_changes, seed, log.clone()));
         Ok(Proxy { addr, fault, name: name.to_owned(), log, task })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the proxy listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Its name, as in its log lines.
+    /// Returns the name of the proxy, which its log lines contain.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Sets the fault; it holds for every connection from the next chunk on.
+    /// Sets the fault of all connections, from their next chunk on.
     pub fn set_fault(&self, fault: Fault) {
         let before = self.fault.send_replace(fault);
         if before != fault {
@@ -76,16 +79,17 @@
         }
     }
 
-    /// The fault that is set.
+    /// Returns the current fault.
     pub fn fault(&self) -> Fault {
         *self.fault.borrow()
     }
 }
 
-/// Why a connection through the proxy ended, as it stands in the log.
+/// Why a connection through the proxy ended; the log contains the text of [`EndReason::as_str`].
 #[derive(Debug, Clone, Copy)]
 enum EndReason {
-    RefusedByFaultOrBound,
+    /// The fault is [`Fault::Drop`], or the proxy already forwards [`MAX_CONNECTIONS`].
+    RefusedByFaultOrLimit,
     TargetUnreachable,
     DroppedByFault,
     ProxyEnded,
@@ -97,7 +101,7 @@
 impl EndReason {
     fn as_str(self) -> &'static str {
         match self {
-            EndReason::RefusedByFaultOrBound => "refused_by_fault_or_bound",
+            EndReason::RefusedByFaultOrLimit => "refused_by_fault_or_bound",
             EndReason::TargetUnreachable => "target_unreachable",
             EndReason::DroppedByFault => "dropped_by_fault",
             EndReason::ProxyEnded => "proxy_ended",
@@ -108,8 +112,8 @@
     }
 }
 
-/// Accepts connections and forwards each on a task of its own.
-async fn accept(
+/// Accepts connections and forwards each in its own task.
+async fn accept_connections(
     listener: TcpListener,
     target: SocketAddr,
     fault: watch::Receiver<Fault>,
@@ -125,7 +129,7 @@
         };
         accepted += 1;
         if *fault.borrow() == Fault::Drop || open.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
-            info!(log, "connection ended"; "reason" => EndReason::RefusedByFaultOrBound.as_str());
+            info!(log, "connection ended"; "reason" => EndReason::RefusedByFaultOrLimit.as_str());
             continue;
         }
         let fault = fault.clone();
@@ -141,7 +145,7 @@
     }
 }
 
-/// Forwards both directions of a connection until either ends.
+/// Forwards both directions of a connection until one of them ends; returns the reason.
 async fn forward_connection(
     client: TcpStream,
     target: SocketAddr,
@@ -156,16 +160,17 @@
     let _ = server.set_nodelay(true);
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let forward = Pump::new(client_read, server_write, Direction::Forward, fault.clone(), seed);
-    let back = Pump::new(server_read, client_write, Direction::Backward, fault, seed.rotate_left(17));
+    let forward = Forwarder::new(client_read, server_write, Direction::Forward, fault.clone(), seed);
+    let backward =
+        Forwarder::new(server_read, client_write, Direction::Backward, fault, seed.rotate_left(17));
     tokio::select! {
         reason = forward.run() => reason,
-        reason = back.run() => reason,
+        reason = backward.run() => reason,
     }
 }
 
-/// One direction of a connection.
-struct Pump {
+/// Copies the bytes of one direction of a connection.
+struct Forwarder {
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
     direction: Direction,
@@ -173,39 +178,40 @@
     random: StdRng,
 }
 
-impl Pump {
+impl Forwarder {
     fn new(
         from: OwnedReadHalf,
         to: OwnedWriteHalf,
         direction: Direction,
         fault: watch::Receiver<Fault>,
         seed: u64,
-    ) -> Pump {
-        Pump { from, to, direction, fault, random: StdRng::seed_from_u64(seed) }
+    ) -> Forwarder {
+        Forwarder { from, to, direction, fault, random: StdRng::seed_from_u64(seed) }
     }
 
-    /// Forwards chunks as the fault allows, until this direction ends.
+    /// Forwards chunks as the current fault allows until this direction ends; returns the reason.
     async fn run(mut self) -> EndReason {
         let mut buffer = vec![0u8; MAX_CHUNK_BYTES];
         loop {
             let fault = *self.fault.borrow_and_update();
-            let jitter = match fault {
+            let jitter_ms = match fault {
                 Fault::Delay { jitter_ms, .. } => self.random.random_range(0..=jitter_ms),
                 _ => 0,
             };
-            let step = match Flow::of(fault, self.direction, jitter) {
+            let result = match Flow::of(fault, self.direction, jitter_ms) {
                 Flow::Close => Err(EndReason::DroppedByFault),
                 Flow::Hold => self.fault.changed().await.map_err(|_| EndReason::ProxyEnded),
-                Flow::Pass(delay_ms) => self.pass_chunk(&mut buffer, delay_ms).await,
+                Flow::Pass(delay_ms) => self.forward_chunk(&mut buffer, delay_ms).await,
             };
-            if let Err(reason) = step {
+            if let Err(reason) = result {
                 return reason;
             }
         }
     }
 
-    /// Reads a chunk and writes it after the delay. A change of the fault ends the wait for the chunk.
-    async fn pass_chunk(&mut self, buffer: &mut [u8], delay_ms: u64) -> Result<(), EndReason> {
+    /// Reads a chunk and writes it after the delay. Returns early without a chunk if the fault changes before
+    /// one arrives.
+    async fn forward_chunk(&mut self, buffer: &mut [u8], delay_ms: u64) -> Result<(), EndReason> {
         let read = tokio::select! {
             read = self.from.read(buffer) => read,
             changed = self.fault.changed() => return changed.map_err(|_| EndReason::ProxyEnded),
--- a/crates/faultnet/tests/faults.rs
+++ b/crates/faultnet/tests/faults.rs
@@ -1,11 +1,12 @@
-//! Each fault on a real connection through the proxy to an echo server.
+//! The effect of each fault on a TCP connection through the proxy to an echo server.
 
 use pinetrestle_faultnet::{Fault, Proxy};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-async fn echo() -> std::net::SocketAddr {
+/// Starts an echo server; returns its address.
+async fn start_echo_server() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -23,63 +24,78 @@
     addr
 }
 
-async fn round(stream: &mut TcpStream, wait_ms: u64) -> Option<Vec<u8>> {
+/// Sends `ping` and returns the echo, or `None` if it is not received within `wait_ms` milliseconds.
+async fn echo_of_ping(stream: &mut TcpStream, wait_ms: u64) -> Option<Vec<u8>> {
     stream.write_all(b"ping").await.ok()?;
-    let mut got = [0u8; 4];
-    match tokio::time::timeout(Duration::from_millis(wait_ms), stream.read_exact(&mut got)).await {
-        Ok(Ok(_)) => Some(got.to_vec()),
+    let mut received = [0u8; 4];
+    match tokio::time::timeout(Duration::from_millis(wait_ms), stream.read_exact(&mut received)).await {
+        Ok(Ok(_)) => Some(received.to_vec()),
         _ => None,
     }
 }
 
-fn log() -> slog::Logger {
+/// Returns a logger that discards all lines.
+fn null_logger() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
+/// Starts a proxy in front of a new echo server.
+async fn start_proxy(seed: u64) -> Proxy {
+    let listen = "127.0.0.1:0".parse().unwrap();
+    Proxy::start("p", listen, start_echo_server().await, seed, null_logger()).await.unwrap()
+}
+
 #[tokio::test]
-async fn stall_holds_bytes_that_heal_lets_through() {
-    let proxy = Proxy::start("p", "127.0.0.1:0".parse().unwrap(), echo().await, 1, log()).await.unwrap();
+async fn stalled_bytes_are_forwarded_after_heal() {
+    let proxy = start_proxy(1).await;
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
-    assert_eq!(round(&mut stream, 1_000).await.as_deref(), Some(&b"ping"[..]));
+    assert_eq!(echo_of_ping(&mut stream, 1_000).await.as_deref(), Some(&b"ping"[..]));
     proxy.set_fault(Fault::Stall);
-    assert_eq!(round(&mut stream, 200).await, None, "bytes passed a stall");
+    assert_eq!(echo_of_ping(&mut stream, 200).await, None, "bytes were forwarded during a stall");
     proxy.set_fault(Fault::Heal);
-    let mut got = [0u8; 4];
-    tokio::time::timeout(Duration::from_secs(1), stream.read_exact(&mut got)).await.unwrap().unwrap();
-    assert_eq!(&got, b"ping", "what was held came after the heal");
+    let mut received = [0u8; 4];
+    tokio::time::timeout(Duration::from_secs(1), stream.read_exact(&mut received)).await.unwrap().unwrap();
+    assert_eq!(&received, b"ping", "the bytes written during the stall are echoed after heal");
 }
 
 #[tokio::test]
 async fn drop_closes_open_and_new_connections() {
-    let proxy = Proxy::start("p", "127.0.0.1:0".parse().unwrap(), echo().await, 1, log()).await.unwrap();
+    let proxy = start_proxy(1).await;
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
-    assert!(round(&mut stream, 1_000).await.is_some());
+    assert!(echo_of_ping(&mut stream, 1_000).await.is_some());
     proxy.set_fault(Fault::Drop);
-    let mut got = [0u8; 1];
-    let read = tokio::time::timeout(Duration::from_secs(1), stream.read(&mut got)).await.unwrap();
-    assert!(matches!(read, Ok(0) | Err(_)), "an open connection outlived a drop: {read:?}");
-    let mut new = TcpStream::connect(proxy.addr()).await.unwrap();
-    assert_eq!(round(&mut new, 300).await, None);
+    let mut received = [0u8; 1];
+    let read = tokio::time::timeout(Duration::from_secs(1), stream.read(&mut received)).await.unwrap();
+    assert!(matches!(read, Ok(0) | Err(_)), "a drop did not close the open connection: {read:?}");
+    let mut rejected = TcpStream::connect(proxy.addr()).await.unwrap();
+    assert_eq!(echo_of_ping(&mut rejected, 300).await, None);
     proxy.set_fault(Fault::Heal);
-    let mut again = TcpStream::connect(proxy.addr()).await.unwrap();
-    assert!(round(&mut again, 1_000).await.is_some(), "no connection after heal");
+    let mut reconnected = TcpStream::connect(proxy.addr()).await.unwrap();
+    assert!(
+        echo_of_ping(&mut reconnected, 1_000).await.is_some(),
+        "no bytes are forwarded on a new connection after heal"
+    );
 }
 
 #[tokio::test]
-async fn one_way_passes_towards_the_target_only_and_delay_is_late() {
-    let proxy = Proxy::start("p", "127.0.0.1:0".parse().unwrap(), echo().await, 7, log()).await.unwrap();
+async fn one_way_forwards_to_the_target_only_and_delay_postpones_each_chunk() {
+    let proxy = start_proxy(7).await;
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     proxy.set_fault(Fault::OneWay);
-    assert_eq!(round(&mut stream, 200).await, None, "an answer came back through a cut");
+    assert_eq!(
+        echo_of_ping(&mut stream, 200).await,
+        None,
+        "bytes of the target were forwarded under a one-way fault"
+    );
     proxy.set_fault(Fault::Delay { ms: 150, jitter_ms: 20 });
-    let mut got = [0u8; 4];
-    tokio::time::timeout(Duration::from_secs(1), stream.read_exact(&mut got)).await.unwrap().unwrap();
-    assert_eq!(&got, b"ping", "the echo of what went forward during the cut");
+    let mut received = [0u8; 4];
+    tokio::time::timeout(Duration::from_secs(1), stream.read_exact(&mut received)).await.unwrap().unwrap();
+    assert_eq!(&received, b"ping", "the echo of the bytes forwarded under the one-way fault");
     let start = Instant::now();
-    assert!(round(&mut stream, 2_000).await.is_some());
+    assert!(echo_of_ping(&mut stream, 2_000).await.is_some());
     assert!(
         start.elapsed() >= Duration::from_millis(300),
-        "two delayed chunks came in {:?}",
+        "two delayed chunks took only {:?}",
         start.elapsed()
     );
 }
