--- a/crates/standins/src/front_node.rs
+++ b/crates/standins/src/front_node.rs
@@ -60,13 +60,13 @@
 
 impl FrontNode {
     /// Starts a front node and waits until its log reports the address at which it listens. `program` is the
-    /// path of the executable.
+    /// path of the executable, optionally followed by arguments.
     pub fn start(program: &str, config: &Value) -> FrontNode {
         FrontNode::start_with_shell_setup("true", program, config)
     }
 
     /// Like [`FrontNode::start`], from a shell that runs `command` first, for instance to set limits or
-    /// variables. `program` may contain arguments.
+    /// variables.
     pub fn start_with_shell_setup(command: &str, program: &str, config: &Value) -> FrontNode {
         let config_file = write_config(config);
         let mut child = Command::new("/bin/sh")
@@ -93,7 +93,7 @@
         FrontNode { child, address: address.expect("a listen address"), log_lines, config_file }
     }
 
-    /// Starts a front node and waits until it reports itself ready.
+    /// Like [`FrontNode::start`], and waits until the front node reports itself ready.
     pub fn start_ready(program: &str, config: &Value) -> FrontNode {
         let front_node = FrontNode::start(program, config);
         eventually("ready", || front_node.get("/health/ready").0 == 200);
