--- a/crates/standins/src/received_part.rs
+++ b/crates/standins/src/received_part.rs
@@ -8,13 +8,13 @@
 /// A part as read by an index server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedPart {
-    /// Id of the part.
+    /// Id of the part: the query's id, a dot and the shard, and a suffix if the part belongs to a second step.
     pub id: String,
     /// Shard that the part queries.
     pub shard: u32,
     /// Attributes as written in the part's line: `d=500,k=...`. `d` is the time left in milliseconds.
     pub attributes: String,
-    /// Text of the part.
+    /// Payload of the part: the text that follows its line.
     pub text: String,
     /// When the part was read.
     pub read_at: Instant,
