--- a/crates/standins/src/received_part.rs
+++ b/crates/standins/src/received_part.rs
@@ -8,7 +8,8 @@
 /// A part as read by an index server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedPart {
-    /// Id of the part: the query's id, a dot and the shard, and a suffix if the part belongs to a second step.
+    /// Id of the part: the query's id, a dot and the shard, and a suffix if the part belongs to a second
+    /// step.
     pub id: String,
     /// Shard that the part queries.
     pub shard: u32,
