--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -130,7 +130,9 @@
             }
             WatchAction::Close(number) => drop(running.remove(&number)),
             // The receiver is there as long as the program serves.
-            WatchAction::Deliver(event) => drop(self.to_event_loop.send(Message::WatchEvent(event)).await),
+            WatchAction::Deliver(event) => {
+                drop(self.to_event_loop.send(Message::EndpointUpdate(event)).await)
+            }
             WatchAction::ReportLost => {
                 self.counters.discovery.watches_lost.increment();
                 let _ = self.to_event_loop.send(Message::WatchFailed).await;
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop that owns the decision host: it feeds the host with the tasks' messages and executes its commands.
 
 use crate::host::{AdmitError, Command, Host, QueryRequest, Reply};
-use crate::invariants::{Invariants, Rule};
+use crate::invariants::{Invariants, Violation};
 use crate::messages::Message;
 use crate::pause_detector::PauseDetector;
 use crate::upstream::ConnectionPools;
@@ -73,7 +73,7 @@
     /// Connections to index servers.
     pub(crate) pools: ConnectionPools,
     /// When the host's clock stood at 0.
-    pub(crate) start: Instant,
+    pub(crate) clock_origin: Instant,
     /// Messages of the tasks.
     pub(crate) inbox: mpsc::Receiver<Message>,
     /// Asks the discovery task to open a watch.
@@ -120,12 +120,12 @@
     }
 
     fn micros_at(&self, instant: Instant) -> Micros {
-        Micros(instant.duration_since(self.start).as_micros() as i64)
+        Micros(instant.duration_since(self.clock_origin).as_micros() as i64)
     }
 
     fn next_timer(&self) -> Instant {
         match self.host.next_timer() {
-            Some(at) => self.start + Duration::from_micros(at.0.max(0) as u64),
+            Some(at) => self.clock_origin + Duration::from_micros(at.0.max(0) as u64),
             None => Instant::now() + MAX_SLEEP,
         }
     }
@@ -176,7 +176,7 @@
                 self.pools.attempts_withdrawn(&attempt_ids);
                 self.attempts_unsent(now, attempt_ids);
             }
-            Message::WatchEvent(event) => self.host.endpoint_update(now, &event, false),
+            Message::EndpointUpdate(event) => self.host.endpoint_update(now, &event, false),
             Message::WatchFailed => self.host.endpoint_watch_failed(),
             Message::Shutdown { deadline } => {
                 self.stopping = true;
@@ -257,12 +257,12 @@
             Command::Reply(id, reply) => self.reply(id, reply),
             // The channel holds one request: a second one that waits would ask for the same.
             Command::WatchEndpoints => drop(self.watch_requests.try_send(())),
-            Command::OrphanedAttempts(attempts) => {
+            Command::ReportOrphanedAttempts(attempts) => {
                 let record = Record::for_query(EventKind::InvariantViolated, 0).with_value(attempts as u64);
                 self.recorder.raise_alarm(STRAY_ATTEMPTS_ALARM, record);
             }
-            Command::RetryForbidden(query) => {
-                self.invariants.report_violation(Rule::UnsafeRetry, query_key(&query))
+            Command::ReportForbiddenRetry(query) => {
+                self.invariants.report_violation(Violation::UnsafeRetry, query_key(&query))
             }
             Command::Log(text) => info!(self.log, "decision core"; "remark" => text),
         }
--- a/crates/node/src/host/actions.rs
+++ b/crates/node/src/host/actions.rs
@@ -123,7 +123,7 @@
         let effect = settings.classes.get(query.class).map(|class| class.idempotency);
         let retry_forbidden = effect.is_some_and(|effect| part.is_retry_forbidden(effect));
         if retry_forbidden {
-            self.commands.push(Command::RetryForbidden(query.wire_id.clone()));
+            self.commands.push(Command::ReportForbiddenRetry(query.wire_id.clone()));
         }
         let number = part.attempt_started(&self.counters);
 
@@ -132,7 +132,7 @@
         let (second_step_name, not_before) = match part.step {
             QueryStep::First => (None, now),
             QueryStep::Second => {
-                (Some(self.body_names.second_step.as_str()), query.second_step_not_before(now))
+                (Some(self.body_keys.second_step.as_str()), query.second_step_not_before(now))
             }
         };
         let may_send = number < settings.limits.max_attempts && time_left > Micros(0) && !retry_forbidden;
--- a/crates/node/src/host/batch.rs
+++ b/crates/node/src/host/batch.rs
@@ -91,7 +91,7 @@
             ended_parts.iter().map(|ended| self.attempts.count_of_part(ended.part, ended.attempts)).sum();
         if orphaned > 0 {
             self.counters.node.orphaned_attempts.add(orphaned as u64);
-            self.commands.push(Command::OrphanedAttempts(orphaned));
+            self.commands.push(Command::ReportOrphanedAttempts(orphaned));
         }
     }
 }
--- a/crates/node/src/host/interface.rs
+++ b/crates/node/src/host/interface.rs
@@ -83,11 +83,11 @@
     WatchEndpoints,
     /// An attempt of the query with this wire id was not sent: an earlier one may have run, and the part is not
     /// idempotent. A defect of the decision core.
-    RetryForbidden(String),
+    ReportForbiddenRetry(String),
     /// A line for the operators' log.
     Log(String),
     /// So many attempts are in flight for queries that had ended before the last batch. A defect of the decision core.
-    OrphanedAttempts(usize),
+    ReportOrphanedAttempts(usize),
 }
 
 /// An index server as the endpoint list names it.
--- a/crates/node/src/host/mod.rs
+++ b/crates/node/src/host/mod.rs
@@ -49,7 +49,7 @@
     core: FrontNode,
     deployment: Rc<Deployment>,
     /// The keys in the bodies of answers.
-    body_names: BodyKeys,
+    body_keys: BodyKeys,
     counters: Rc<Counters>,
     /// The seed of the core's random draws; a restarted core gets the next one.
     seed: u64,
@@ -82,7 +82,7 @@
         Host {
             core: FrontNode::new(deployment.settings.clone(), seed, now),
             deployment,
-            body_names: BodyKeys::default(),
+            body_keys: BodyKeys::default(),
             counters,
             seed,
             events: Vec::new(),
@@ -98,8 +98,8 @@
 
     /// The same host with other keys in the bodies of answers.
     #[must_use]
-    pub fn with_body_names(self, names: &BodyKeys) -> Host {
-        Host { body_names: names.clone(), ..self }
+    pub fn with_body_keys(self, keys: &BodyKeys) -> Host {
+        Host { body_keys: keys.clone(), ..self }
     }
 
     /// A replica's endpoint, as long as it is remembered.
--- a/crates/node/src/host/replies.rs
+++ b/crates/node/src/host/replies.rs
@@ -36,7 +36,7 @@
         let complete = complete && (query.step == QueryStep::First || query.first_step_complete);
         let parts = self.queries.parts_of_step(query, query.step);
         let values = parts.filter_map(|part| Some((part.shard, part.answer.as_ref()?.value.as_str())));
-        let body = encode_answer_body(&self.body_names, complete, values);
+        let body = encode_answer_body(&self.body_keys, complete, values);
         self.finish_query(id, Reply::Served { body, complete }, |queries| {
             let counter = if complete { &queries.complete } else { &queries.partial };
             counter.increment();
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -30,7 +30,7 @@
 /// One invariant. Its number stands in the flight recorder's ring; 1 is an attempt that outlives its query (the counter
 /// `own.stray_attempts`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Rule {
+pub(crate) enum Violation {
     /// No part is started once its query has ended.
     SentAfterEnd = 2,
     /// No part is sent to an index server that is draining or has left.
@@ -107,41 +107,41 @@
     /// A part's first byte was written.
     pub(crate) fn part_started(&self, part: PartStart) {
         if !self.open.borrow().contains(&part.query) {
-            self.report_violation(Rule::SentAfterEnd, part.query);
+            self.report_violation(Violation::SentAfterEnd, part.query);
         }
         if self.draining.borrow().contains(&part.replica) {
-            self.report_violation(Rule::SentOutOfService, part.query);
+            self.report_violation(Violation::SentOutOfService, part.query);
         }
         if part.past_deadline {
-            self.report_violation(Rule::SentPastDeadline, part.query);
+            self.report_violation(Violation::SentPastDeadline, part.query);
         }
     }
 
     /// Counts, records and logs the violation of an invariant.
-    pub(crate) fn report_violation(&self, rule: Rule, query: QueryKey) {
-        self.counter(rule).increment();
-        self.recorder.raise_alarm(rule as u8, Record::for_query(EventKind::InvariantViolated, query));
+    pub(crate) fn report_violation(&self, violation: Violation, query: QueryKey) {
+        self.counter(violation).increment();
+        self.recorder.raise_alarm(violation as u8, Record::for_query(EventKind::InvariantViolated, query));
         if self.logged.get() < MAX_LOGGED {
             self.logged.set(self.logged.get() + 1);
-            error!(self.log, "invariant broken"; "rule" => format!("{rule:?}"),
+            error!(self.log, "invariant broken"; "rule" => format!("{violation:?}"),
                 "query" => format!("{query:016x}"));
         }
     }
 
-    fn counter(&self, rule: Rule) -> &Counter {
+    fn counter(&self, violation: Violation) -> &Counter {
         let violations = &self.counters.violations;
-        match rule {
-            Rule::SentAfterEnd => &violations.sent_after_end,
-            Rule::SentOutOfService => &violations.sent_out_of_service,
-            Rule::UnsafeRetry => &violations.unsafe_retry,
-            Rule::SentPastDeadline => &violations.sent_past_deadline,
-            Rule::ClosedUnanswered => &violations.closed_unanswered,
+        match violation {
+            Violation::SentAfterEnd => &violations.sent_after_end,
+            Violation::SentOutOfService => &violations.sent_out_of_service,
+            Violation::UnsafeRetry => &violations.unsafe_retry,
+            Violation::SentPastDeadline => &violations.sent_past_deadline,
+            Violation::ClosedUnanswered => &violations.closed_unanswered,
         }
     }
 }
 
 /// A request that was read and needs its final answer. Dropped without [`PendingReply::settle`], it is a violation of
-/// [`Rule::ClosedUnanswered`].
+/// [`Violation::ClosedUnanswered`].
 pub(crate) struct PendingReply {
     invariants: Rc<Invariants>,
     query: QueryKey,
@@ -163,7 +163,7 @@
 impl Drop for PendingReply {
     fn drop(&mut self) {
         if !self.settled {
-            self.invariants.report_violation(Rule::ClosedUnanswered, self.query);
+            self.invariants.report_violation(Violation::ClosedUnanswered, self.query);
         }
     }
 }
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -37,7 +37,7 @@
         local_fault: bool,
     },
     /// Discovery sent an endpoint list or a change to it.
-    WatchEvent(ListUpdate),
+    EndpointUpdate(ListUpdate),
     /// The watch of discovery has failed or was lost.
     WatchFailed,
     /// The front node stops; open queries have to end by the deadline.
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -209,7 +209,7 @@
         let event_loop = EventLoop {
             host,
             pools: self.new_pools(),
-            start: self.start,
+            clock_origin: self.start,
             inbox,
             watch_requests,
             pending: PendingQueries::default(),
@@ -279,7 +279,7 @@
 fn new_host(config: &Config, counters: Rc<Counters>) -> Host {
     let deployment = Rc::new(config.deployment.clone());
     let host = Host::new(deployment, counters, config.seed, Micros(0));
-    let mut host = host.with_body_names(&config.names.wire.body_keys);
+    let mut host = host.with_body_keys(&config.names.wire.body_keys);
     host.endpoint_update(Micros(0), &config.initial_list, true);
     host
 }
--- a/crates/node/tests/host/harness.rs
+++ b/crates/node/tests/host/harness.rs
@@ -96,8 +96,8 @@
             }
             Command::Reply(query, reply) => self.replies.push(FinalReply { query, reply }),
             Command::WatchEndpoints => self.watches += 1,
-            Command::OrphanedAttempts(attempts) => panic!("{attempts} attempts outlive their queries"),
-            Command::RetryForbidden(query) => panic!("a forbidden retry of a part of {query}"),
+            Command::ReportOrphanedAttempts(attempts) => panic!("{attempts} attempts outlive their queries"),
+            Command::ReportForbiddenRetry(query) => panic!("a forbidden retry of a part of {query}"),
             Command::Log(_) | Command::DrainEndpoint(_) | Command::Withdraw(_) => {}
         }
     }
--- a/crates/node/tests/inside/host.rs
+++ b/crates/node/tests/inside/host.rs
@@ -72,7 +72,7 @@
     let attempt_id = insert_query(&mut host);
     // The core was never given this query, so it ends nothing of it.
     host.client_disconnected(7);
-    assert!(host.process_batch(Micros(5)).contains(&Command::OrphanedAttempts(1)));
+    assert!(host.process_batch(Micros(5)).contains(&Command::ReportOrphanedAttempts(1)));
     assert_eq!(host.counters.node.orphaned_attempts.get(), 1);
     host.end_attempt(Micros(6), attempt_id, Outcome::Cancelled);
     host.events.push(Event::TimerFired);
