--- a/crates/node/src/host/actions.rs
+++ b/crates/node/src/host/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the actions of the decision core: attempts, cancellations, answers and timers.
+//! Execution of the decision core's actions: attempts, cancellations, answers, timers and log lines.
 
 use super::attempts::InFlightAttempt;
 use super::clock_micros;
@@ -12,32 +12,32 @@
 use pinetrestle_recorder::query_key;
 use std::collections::HashMap;
 
-/// An attempt as the decision core orders it ([`Action::Attempt`]).
+/// The fields of an [`Action::Attempt`].
 #[derive(Clone, Copy, Debug)]
 struct AttemptOrder {
     part: Id,
     replica: ReplicaId,
-    /// Its timeout; 0 for all the time that its query has left.
+    /// Timeout of the attempt; 0 stands for the time until the deadline of the query.
     timeout: Micros,
-    /// Send within this time or not at all.
+    /// If set, the attempt must be dropped unless it can be sent within this time.
     send_within: Option<Micros>,
 }
 
-/// An attempt that was counted at its part, and what is to be sent for it.
+/// A new attempt of a part of an open query.
 struct PreparedAttempt {
-    /// Its number among the attempts of its part, from 0.
+    /// Number of the attempt among those of its part, from 0.
     number: u32,
-    /// Its timeout, no longer than the time that its query has left.
+    /// Timeout of the attempt, which does not exceed the time until the deadline of the query.
     timeout: Micros,
-    /// The part to send; none if the attempt may not be sent.
+    /// The part to send; `None` if the attempt must not be sent.
     outgoing: Option<OutgoingPart>,
 }
 
-/// For each replica the place, among the commands, of the call that its next part joins.
+/// For each replica, the index in `Host::commands` of the call to which further parts are added.
 type OpenCalls = HashMap<ReplicaId, usize>;
 
 impl Host {
-    /// Executes the actions of one batch in order.
+    /// Executes the actions that resulted from one batch, in order.
     pub(super) fn execute_actions(&mut self, now: Micros, actions: Vec<Action>) {
         let mut open_calls = OpenCalls::new();
         for action in actions {
@@ -76,12 +76,14 @@
         }
     }
 
-    /// Parts of one batch that go to one replica share a call, up to the deployment's limit of parts in a call.
+    /// Adds a part to the open call to a replica, or starts a new call if there is none or it is full. The
+    /// parts that a batch sends to one replica thus share calls, up to the deployment's maximum number of
+    /// parts in a call.
     fn add_to_call(&mut self, replica: ReplicaId, outgoing: OutgoingPart, open_calls: &mut OpenCalls) {
-        let max_batch = self.deployment.settings.limits.max_batch.max(1) as usize;
-        let open_call = open_calls.get(&replica).and_then(|place| self.commands.get_mut(*place));
+        let max_parts = self.deployment.settings.limits.max_batch.max(1) as usize;
+        let open_call = open_calls.get(&replica).and_then(|index| self.commands.get_mut(*index));
         match open_call {
-            Some(Command::Send { parts, .. }) if parts.len() < max_batch => parts.push(outgoing),
+            Some(Command::Send { parts, .. }) if parts.len() < max_parts => parts.push(outgoing),
             _ => {
                 open_calls.insert(replica, self.commands.len());
                 self.commands.push(Command::Send { replica, parts: vec![outgoing] });
@@ -89,8 +91,9 @@
         }
     }
 
-    /// Enters an attempt and returns what is to be sent for it. One that may not be sent ends at once: the decision
-    /// core learns of that with the next batch.
+    /// Adds an attempt to the table of attempts in flight and returns the part to send. An attempt that must
+    /// not be sent ends immediately, which is reported to the decision core in the next batch, and `None` is
+    /// returned.
     fn start_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<OutgoingPart> {
         self.counters.attempts.sent.increment();
         self.counters.attempts.in_flight.increment();
@@ -116,12 +119,13 @@
         Some(OutgoingPart { attempt_id, ..outgoing })
     }
 
-    /// Counts an attempt at its part and composes what is to be sent; none if its query has ended.
+    /// Updates the part and the counters for a new attempt and builds the part to send. Returns `None` if the
+    /// query has ended.
     fn prepare_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<PreparedAttempt> {
         let settings = &self.deployment.settings;
         let (query, part) = self.queries.query_and_part_mut(order.part)?;
-        let effect = settings.classes.get(query.class).map(|class| class.idempotency);
-        let retry_forbidden = effect.is_some_and(|effect| part.is_retry_forbidden(effect));
+        let idempotency = settings.classes.get(query.class).map(|class| class.idempotency);
+        let retry_forbidden = idempotency.is_some_and(|idempotency| part.is_retry_forbidden(idempotency));
         if retry_forbidden {
             self.commands.push(Command::ReportForbiddenRetry(query.wire_id.clone()));
         }
@@ -137,12 +141,12 @@
         };
         let may_send = number < settings.limits.max_attempts && time_left > Micros(0) && !retry_forbidden;
         let outgoing = may_send.then(|| OutgoingPart {
-            // The id follows once the attempt is entered.
+            // Set by `start_attempt` once the table has assigned the id.
             attempt_id: 0,
             query_key: query_key(&query.wire_id),
             id: part_id(&query.wire_id, part.shard, second_step_name),
             shard: part.shard,
-            attributes: format!("{}{}", query.idempotency_options, query.second_step_options),
+            attributes: format!("{}{}", query.idempotency_attributes, query.second_step_attributes),
             text: query.text.clone(),
             deadline_us: clock_micros(now + timeout),
             start_before_us: order.send_within.map(|within| clock_micros(now + within)),
--- a/crates/node/src/host/admission.rs
+++ b/crates/node/src/host/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of queries: duplicate ids and capacity are checked here, load is shed by the decision core.
+//! Admission of queries: checks for duplicate ids and for capacity. Load shedding is up to the decision core.
 
 use super::interface::{AdmitError, QueryRequest};
 use super::query_table::{OpenPart, OpenQuery};
@@ -9,8 +9,12 @@
 use pinetrestle_protocol::query::RequestedPart;
 
 impl Host {
-    /// Admits a query and hands it to the decision core with the next batch. Returns its id, by which
-    /// [`Command::Reply`](super::Command::Reply) names it.
+    /// Admits a query and passes it to the decision core in the next batch. Returns the id of the query, by
+    /// which [`Command::Reply`](super::Command::Reply) refers to it.
+    ///
+    /// # Errors
+    /// [`AdmitError::DuplicateId`] if the wire id is in use or was used recently,
+    /// [`AdmitError::OverCapacity`] if the query would exceed the maximum number of open queries and parts.
     pub fn admit(&mut self, now: Micros, request: QueryRequest) -> Result<Id, AdmitError> {
         self.check_duplicate(now, &request)?;
         self.check_capacity(&request)?;
@@ -20,7 +24,7 @@
 
         let mut query =
             self.queries.new_query(request.wire_id, request.text, request.class, now + expires_in);
-        query.idempotency_options =
+        query.idempotency_attributes =
             request.idempotency_key.as_deref().map(idempotency_key_attribute).unwrap_or_default();
         let id = self.next_free_id();
         self.events.push(Event::Query {
@@ -45,7 +49,7 @@
         Ok(id)
     }
 
-    /// Adds a part to the query's present step and hands it to the decision core with the next batch.
+    /// Adds a part to the current step of a query and passes it to the decision core in the next batch.
     pub(super) fn add_part(&mut self, query_id: Id, query: &mut OpenQuery, requested: &RequestedPart) {
         let id = self.next_free_id();
         self.events.push(Event::Part {
@@ -59,8 +63,9 @@
         query.parts.push(id);
     }
 
-    /// A query's id must be unique among open queries and for the longest deadline after: index servers would take a
-    /// later query of the same id for the earlier one.
+    /// Checks that the wire id of a query is not in use and claims it. A wire id stays claimed while its
+    /// query is open, and for at least the longest deadline of all classes after it was claimed: index
+    /// servers can't tell two queries with the same id apart.
     fn check_duplicate(&mut self, now: Micros, request: &QueryRequest) -> Result<(), AdmitError> {
         let classes = &self.deployment.settings.classes;
         let longest_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
@@ -71,6 +76,7 @@
         }
     }
 
+    /// Checks that the query and its parts do not exceed the maximum number of open queries and parts.
     fn check_capacity(&self, request: &QueryRequest) -> Result<(), AdmitError> {
         let limits = &self.deployment.settings.limits;
         let needed = self.queries.open_queries_and_parts() + 1 + request.parts.len();
@@ -82,7 +88,7 @@
         Err(AdmitError::OverCapacity { retry_after })
     }
 
-    /// The time left for a query, no longer than a graceful shutdown leaves.
+    /// Limits the time left for a query to the time until the shutdown deadline, if there is one.
     fn limit_to_shutdown(&self, now: Micros, expires_in: Micros) -> Micros {
         match self.shutdown_deadline {
             Some(deadline) => expires_in.min(deadline - now),
@@ -91,8 +97,8 @@
     }
 }
 
-/// The work of all parts together, if any part states its work.
+/// Returns the total estimated work of the parts for which the client stated it, or `None` if it stated none.
 fn total_work(parts: &[RequestedPart]) -> Option<Micros> {
-    let stated: Vec<i64> = parts.iter().filter_map(|part| part.work_hint_us).collect();
-    (!stated.is_empty()).then(|| Micros(stated.iter().sum()))
+    let work_hints: Vec<i64> = parts.iter().filter_map(|part| part.work_hint_us).collect();
+    (!work_hints.is_empty()).then(|| Micros(work_hints.iter().sum()))
 }
--- a/crates/node/src/host/attempts.rs
+++ b/crates/node/src/host/attempts.rs
@@ -1,4 +1,4 @@
-//! The table of attempts in flight.
+//! Table of the attempts in flight.
 
 use super::interface::TableSize;
 use pinetrestle::interface::{Id, Micros, ReplicaId};
@@ -10,23 +10,24 @@
 #[derive(Debug)]
 pub(super) struct InFlightAttempt {
     pub(super) part: Id,
-    /// Its number among the attempts of its part, from 0.
+    /// Number of the attempt among those of its part, from 0.
     pub(super) number: u32,
-    /// The replica it was sent to.
+    /// The replica that the attempt is sent to.
     pub(super) replica: ReplicaId,
     pub(super) sent_at: Micros,
-    /// The timer of its timeout, once it is set.
+    /// Timer of the attempt's timeout; `None` until it is set.
     pub(super) timer: Option<TimerKey>,
 }
 
-/// An attempt as the decision core names it.
+/// Identifies an attempt by its part and number, as the decision core does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AttemptKey {
     part: Id,
     number: u32,
 }
 
-/// The attempts in flight, by the id that the links know them by and by part and number.
+/// The attempts in flight, indexed by attempt id and by part and number. Connections identify attempts by
+/// their id.
 #[derive(Default)]
 pub(super) struct AttemptTable {
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
@@ -35,7 +36,7 @@
 }
 
 impl AttemptTable {
-    /// Enters an attempt and gives it an id.
+    /// Adds an attempt and returns its newly assigned id.
     pub(super) fn insert(&mut self, attempt: InFlightAttempt) -> AttemptId {
         self.last_id += 1;
         self.ids.insert(AttemptKey { part: attempt.part, number: attempt.number }, self.last_id);
@@ -43,56 +44,59 @@
         self.last_id
     }
 
-    /// Removes an attempt; none if it has ended before. Its timer is left to the caller.
+    /// Removes an attempt and returns it, or `None` if it has already ended. The caller has to cancel its
+    /// timer.
     pub(super) fn remove(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         let attempt = self.attempts.remove(&id)?;
         self.ids.remove(&AttemptKey { part: attempt.part, number: attempt.number });
         Some(attempt)
     }
 
-    /// Notes the timer of an attempt's timeout.
+    /// Stores the key of an attempt's timeout timer.
     pub(super) fn set_timer(&mut self, id: AttemptId, timer: TimerKey) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.timer = Some(timer);
         }
     }
 
-    /// The id of a part's attempt, if that is in flight.
+    /// Returns the id of the attempt with this number, or `None` if it is not in flight.
     pub(super) fn id_of(&self, part: Id, number: u32) -> Option<AttemptId> {
         self.ids.get(&AttemptKey { part, number }).copied()
     }
 
-    /// The part of an attempt in flight.
+    /// Returns the part of an attempt, or `None` if the attempt is not in flight.
     pub(super) fn part_of(&self, id: AttemptId) -> Option<Id> {
         self.attempts.get(&id).map(|attempt| attempt.part)
     }
 
-    /// The ids of those of a part's first `attempts` attempts that are in flight, in the order of their numbers.
+    /// Returns the ids of the attempts of a part that are in flight, in the order of their numbers.
+    /// `attempts` is the number of attempts that the part has had.
     pub(super) fn ids_of_part(&self, part: Id, attempts: u32) -> impl Iterator<Item = AttemptId> + '_ {
         (0..attempts).filter_map(move |number| self.id_of(part, number))
     }
 
-    /// How many of a part's first `attempts` attempts are in flight.
+    /// Returns the number of attempts of a part that are in flight. `attempts` is the number of attempts that
+    /// the part has had.
     pub(super) fn count_of_part(&self, part: Id, attempts: u32) -> usize {
         self.ids_of_part(part, attempts).count()
     }
 
-    /// Whether an attempt of a part is in flight. Looks at all attempts.
+    /// Returns whether an attempt of a part is in flight. Takes time proportional to the size of the table.
     pub(super) fn has_part(&self, part: Id) -> bool {
         self.attempts.values().any(|attempt| attempt.part == part)
     }
 
-    /// The ids of all attempts in flight, oldest first.
+    /// Returns the ids of all attempts in flight, oldest first.
     pub(super) fn ids(&self) -> Vec<AttemptId> {
         self.attempts.keys().copied().collect()
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(super) fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// The size of the table.
+    /// Returns the size of the table, as the total of both indexes.
     pub(super) fn size(&self) -> TableSize {
         TableSize { table: "attempts", entries: self.attempts.len() + self.ids.len() }
     }
--- a/crates/node/src/host/batch.rs
+++ b/crates/node/src/host/batch.rs
@@ -1,4 +1,5 @@
-//! One batch: timers that are due fire, the decision core processes all events at once, and its actions are executed.
+//! Processing of one batch: fires the due timers, runs the decision core on all pending events, and executes
+//! the resulting actions.
 
 use super::interface::{Command, Reply};
 use super::timers::Timer;
@@ -7,16 +8,16 @@
 use pinetrestle::FrontNode;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The decision core has panicked while it processed a batch.
+/// The decision core panicked while processing a batch.
 struct CorePanicked;
 
 impl Host {
-    /// Has the decision core process all pending events and returns what is to be done, in order. Events that this
-    /// causes at once wait for the next batch.
+    /// Fires the due timers, has the decision core process all pending events, and returns the commands to
+    /// execute, in order. Events caused by the core's actions stay pending until the next batch.
     pub fn process_batch(&mut self, now: Micros) -> Vec<Command> {
         self.fire_timers(now);
         if !self.events.is_empty() {
-            // Parts that end during this batch are checked after the next one.
+            // Parts whose query ends by an action of this batch are checked after the next batch.
             let ended_parts = std::mem::take(&mut self.ended_parts);
             match self.run_core(now) {
                 Ok(actions) => self.execute_actions(now, actions),
@@ -32,13 +33,13 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
         let core = &mut self.core;
-        // A panic of the core must not take down the connections that the program holds.
+        // A panic in the core must not close the connections of the whole process.
         let result = catch_unwind(AssertUnwindSafe(|| core.handle(now, &events, &mut actions)));
         result.map(|()| actions).map_err(|_| CorePanicked)
     }
 
-    /// Replaces a decision core that has panicked: all open queries fail, all attempts are abandoned, and a new core
-    /// starts from the latest endpoint list.
+    /// Replaces a decision core that has panicked. All open queries fail, all attempts are abandoned, and the
+    /// new core is given the latest endpoint list.
     pub(super) fn restart_core(&mut self, now: Micros) {
         self.counters.node.core_restarts.increment();
         self.commands.push(Command::Log("the decision core panicked and was restarted".into()));
@@ -73,11 +74,11 @@
         }
     }
 
-    /// Fails a query that the decision core has not ended by its deadline. To the core it looks as if the client had
-    /// disconnected.
+    /// Fails a query that the decision core has not answered by the query's deadline. The end of the query is
+    /// reported to the core as a client disconnect.
     fn fail_overdue_query(&mut self, query: Id) {
-        let Some(query_state) = self.remove_query(query) else { return };
-        self.count_query(query_state.class, |queries| {
+        let Some(removed) = self.remove_query(query) else { return };
+        self.count_query(removed.class, |queries| {
             queries.failed.increment();
             queries.overdue.increment();
         });
@@ -85,7 +86,8 @@
         self.events.push(Event::ClientDisconnected(query));
     }
 
-    /// Reports attempts that are still in flight although the core has had a batch to end them.
+    /// Reports the attempts of `ended_parts` that are still in flight, although the core has processed a
+    /// batch since their queries ended.
     fn report_orphaned_attempts(&mut self, ended_parts: &[EndedPart]) {
         let orphaned: usize =
             ended_parts.iter().map(|ended| self.attempts.count_of_part(ended.part, ended.attempts)).sum();
--- a/crates/node/src/host/inputs.rs
+++ b/crates/node/src/host/inputs.rs
@@ -1,4 +1,5 @@
-//! Inputs from the tasks around the host: what becomes of attempts, clients, the endpoint list and the process.
+//! Inputs of the host other than queries: attempt outcomes, client disconnects, endpoint list updates and the
+//! graceful shutdown.
 
 use super::query_table::PartAnswer;
 use super::timers::Timer;
@@ -10,15 +11,15 @@
 use pinetrestle_protocol::frames::PartOutcome;
 
 impl Host {
-    /// The client of a query has disconnected.
+    /// Handles the disconnect of a query's client. Does nothing if the query has ended.
     pub fn client_disconnected(&mut self, query: Id) {
-        if let Some(query_state) = self.remove_query(query) {
-            self.count_query(query_state.class, |queries| queries.client_gone.increment());
+        if let Some(removed) = self.remove_query(query) {
+            self.count_query(removed.class, |queries| queries.client_gone.increment());
             self.events.push(Event::ClientDisconnected(query));
         }
     }
 
-    /// An index server has answered an attempt.
+    /// Handles the answer of an index server to an attempt.
     pub fn attempt_answered(&mut self, now: Micros, answer: AttemptAnswer) {
         let outcome = match answer.outcome {
             PartOutcome::Served => Outcome::Ok,
@@ -28,25 +29,27 @@
         if outcome == Outcome::Ok {
             let part = self.attempts.part_of(answer.attempt_id);
             if let Some(part) = part.and_then(|id| self.queries.part_mut(id)) {
-                // A part counts once: its first answer stays.
+                // Several attempts of a part may be answered; the first answer is used.
                 part.answer.get_or_insert(PartAnswer { score: answer.score, value: answer.value });
             }
         }
         self.end_attempt(now, answer.attempt_id, outcome);
     }
 
-    /// The connection of an attempt was lost; `written` if the attempt's frame had been written completely.
+    /// Handles the loss of the connection that carried an attempt. `written` states whether the call had been
+    /// completely written, so that the attempt may have run.
     pub fn connection_lost(&mut self, now: Micros, attempt_id: AttemptId, written: bool) {
         let outcome = if written { Outcome::Reset } else { Outcome::ConnectFailed };
         self.end_attempt(now, attempt_id, outcome);
     }
 
-    /// An attempt was withdrawn before any byte of it was written.
+    /// Handles the withdrawal of an attempt before the write of its call started.
     pub fn attempt_not_sent(&mut self, now: Micros, attempt_id: AttemptId) {
         self.end_attempt(now, attempt_id, Outcome::NotSent);
     }
 
-    /// Discovery has sent an endpoint list or a watch event; `cached` if it was stored before this process started.
+    /// Applies an endpoint list or a watch event. `cached` states whether it was stored before this process
+    /// started, as opposed to received from discovery since then.
     pub fn endpoint_update(&mut self, now: Micros, update: &ListUpdate, cached: bool) {
         let changes = self.endpoints.apply(now, update, cached);
         self.commands.extend(changes.draining.into_iter().map(Command::DrainEndpoint));
@@ -58,13 +61,14 @@
         });
     }
 
-    /// Polling the endpoint list failed, or the watch on it was lost.
+    /// Handles a failed poll of the endpoint list, or the loss of the watch on it.
     pub fn endpoint_watch_failed(&mut self) {
         self.endpoints.watch_lost();
         self.events.push(Event::WatchFailed);
     }
 
-    /// The front node shuts down gracefully: all queries, open and to come, have to be answered by then.
+    /// Begins the graceful shutdown: limits the deadlines of all queries, open and future ones, to
+    /// `deadline`.
     pub fn set_shutdown_deadline(&mut self, deadline: Micros) {
         self.shutdown_deadline = Some(deadline);
         for (id, query) in self.queries.queries_mut().filter(|(_, query)| query.deadline > deadline) {
@@ -74,7 +78,8 @@
         }
     }
 
-    /// Ends an attempt and reports it to the decision core with the next batch; false if it has ended before.
+    /// Ends an attempt and reports its outcome to the decision core in the next batch. Returns `false` if the
+    /// attempt has already ended.
     pub(super) fn end_attempt(&mut self, now: Micros, attempt_id: AttemptId, outcome: Outcome) -> bool {
         let Some(attempt) = self.attempts.remove(attempt_id) else { return false };
         self.timers.cancel(attempt.timer);
@@ -95,7 +100,7 @@
     }
 }
 
-/// The counter of attempts that ended in this way.
+/// Returns the counter of attempts that ended with this outcome.
 fn outcome_counter(counters: &AttemptCounters, outcome: Outcome) -> &Counter {
     match outcome {
         Outcome::Ok => &counters.ok,
--- a/crates/node/src/host/interface.rs
+++ b/crates/node/src/host/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the host and what comes out of it: requests, replies and commands, as plain data.
+//! Types of the host's inputs and outputs: requests, replies, commands and endpoints.
 
 use pinetrestle::interface::{Id, Micros, ReplicaId};
 use pinetrestle_protocol::connection::{AttemptId, OutgoingPart};
@@ -6,107 +6,109 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// A query as a client's connection has parsed it.
+/// A query of a client, parsed from its request.
 #[derive(Clone, Debug)]
 pub struct QueryRequest {
-    /// Its id on the wire; the ids of its parts begin with it.
+    /// Id of the query on the wire, which is also the prefix of the wire ids of its parts.
     pub wire_id: String,
-    /// Its class, by its number in the settings.
+    /// Index of the query's class in the settings.
     pub class: usize,
-    /// Its tenant, by its number in the settings, where there are tenants.
+    /// Index of the query's tenant in the settings; `None` if the query has no tenant.
     pub tenant: Option<usize>,
-    /// Time left before the client abandons it.
+    /// Time left until the client abandons the query.
     pub expires_in: Micros,
-    /// The client marked it as a retry of its own.
+    /// Whether the client marked the query as a retry.
     pub is_client_retry: bool,
-    /// The idempotency key by which index servers drop duplicates, where the client gave one.
+    /// Idempotency key by which index servers drop duplicates, if the client sent one.
     pub idempotency_key: Option<String>,
-    /// Its parts.
+    /// The requested parts of the query.
     pub parts: Vec<RequestedPart>,
-    /// The payload that each part carries.
+    /// Text of the query, which each part carries to its index server.
     pub text: Rc<str>,
 }
 
 /// The final answer to a query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Answered.
+    /// The query was answered.
     Served {
-        /// The body.
+        /// Body of the answer.
         body: Vec<u8>,
-        /// Whether the answer is complete.
+        /// Whether the answer is complete, as opposed to partial.
         complete: bool,
     },
-    /// Rejected: a retry is harmless.
+    /// The query was rejected. A retry by the client is safe.
     Rejected {
-        /// How long the client should wait before a retry, in microseconds.
+        /// Time that the client should wait before a retry, in microseconds; `None` if the answer gives none.
         retry_after: Option<i64>,
     },
-    /// Failed: a retry may repeat its effect.
+    /// The query failed. A part may have run, so a retry by the client may have a second effect.
     Failed,
 }
 
-/// Why a query was not admitted.
+/// Reason for which a query was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum AdmitError {
-    /// A query of the same id is open or was admitted a short time ago.
-    #[error("a query of the same id is open or was admitted a short time ago")]
+    /// A query with the same wire id is open or was admitted recently.
+    #[error("a query with the same id is open or was admitted recently")]
     DuplicateId,
-    /// The host is at its capacity of open queries and parts.
-    #[error("at capacity, retry after {retry_after:?} us")]
+    /// The query and its parts would exceed the maximum number of open queries and parts.
+    #[error("too many open queries and parts, retry after {retry_after:?} us")]
     OverCapacity {
-        /// How long the client should wait before a retry, in microseconds.
+        /// Time that the client should wait before a retry, in microseconds; `None` if the answer gives none.
         retry_after: Option<i64>,
     },
 }
 
-/// What the tasks around the host have to do.
+/// An operation to be executed by the event loop on behalf of the host.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Send one call to an index server.
+    /// Send one call to a replica.
     Send {
-        /// The index server.
+        /// The replica to send the call to.
         replica: ReplicaId,
-        /// The call's parts.
+        /// The parts that the call carries.
         parts: Vec<OutgoingPart>,
     },
-    /// Stop waiting for an attempt, and cancel it where the deployment allows that.
+    /// Stop waiting for the answer to an attempt, and cancel the attempt at its replica if the deployment
+    /// allows that.
     Abandon(AttemptId),
-    /// Give a query its final answer.
+    /// Send the final answer of a query to its client.
     Reply(Id, Reply),
-    /// Withdraw an attempt if none of it is written yet; otherwise it stays in flight.
+    /// Withdraw an attempt if the write of its call has not started; otherwise the attempt stays in flight.
     Withdraw(AttemptId),
-    /// An index server is draining or has left: withdraw what is not written to it yet, and close its connections
-    /// once nothing is in flight on them.
+    /// A replica is draining or has been removed: withdraw the attempts whose write has not started, and
+    /// close each of its connections once no attempt is in flight on it.
     DrainEndpoint(ReplicaId),
     /// Poll discovery for the endpoint list and open a watch on it.
     WatchEndpoints,
-    /// An attempt of the query with this wire id was not sent: an earlier one may have run, and the part is not
-    /// idempotent. A defect of the decision core.
+    /// Report a defect of the decision core: it ordered another attempt of a non-idempotent part although an
+    /// earlier attempt may have run. The attempt was not sent. Contains the wire id of the query.
     ReportForbiddenRetry(String),
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log(String),
-    /// So many attempts are in flight for queries that had ended before the last batch. A defect of the decision core.
+    /// Report a defect of the decision core: it left attempts in flight whose queries had ended before the
+    /// latest batch. Contains the number of these attempts.
     ReportOrphanedAttempts(usize),
 }
 
-/// An index server as the endpoint list names it.
+/// Name, address and start time of an index server, from the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the index server.
     pub name: String,
-    /// Its address, as `host:port`.
+    /// Address of the index server, as `host:port`.
     pub address: String,
-    /// When its incarnation started, in milliseconds of Unix time, 0 if not known; connections to an older
-    /// incarnation are of no use.
+    /// Start time of the current incarnation in milliseconds of Unix time; 0 if unknown. Connections to an
+    /// earlier incarnation can't be used any more.
     pub started_unix_ms: i64,
 }
 
-/// The number of entries that a table of the host holds.
+/// Number of entries in a table of the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSize {
-    /// What the table holds.
+    /// Name of the table.
     pub table: &'static str,
-    /// Its entries.
+    /// Number of entries.
     pub entries: usize,
 }
--- a/crates/node/src/host/mod.rs
+++ b/crates/node/src/host/mod.rs
@@ -1,21 +1,36 @@
-//! The host of the decision core: ids, events, actions, timers and answers, as plain data that never waits.
+//! Host of the decision core: keeps the state that the core refers to by id, and translates between the core
+//! and the I/O tasks.
 //!
-//! The host decides nothing. It turns what happens at the sockets into events of the decision core, hands over one
-//! batch of events at a time, and turns the core's actions into [`Command`]s for the tasks around it:
+//! The host makes no routing, retry or load-shedding decisions and does no I/O. The event loop passes it
+//! network events and calls it when timers are due. The host converts these inputs to [`Event`]s, passes them
+//! to the decision core in batches, and converts the resulting [`Action`](pinetrestle::interface::Action)s to
+//! [`Command`]s, which the event loop executes.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`interface`] | requests, replies and commands |
-//! | `admission` | queries that come in |
-//! | `inputs` | what becomes of attempts, clients and the endpoint list |
-//! | `batch` | timers that fire, the call of the core, its restart after a panic |
-//! | `actions` | the core's actions |
-//! | `replies` | final answers and the second step |
-//! | `query_table`, `recent_ids` | queries and parts that are open, ids that were used |
-//! | `attempts`, `timers` | attempts in flight and timers |
-//! | `endpoint_list`, `start_times` | index servers |
+//! | [`interface`] | types of the host's inputs and outputs: requests, replies and commands |
+//! | `admission` | admits or rejects arriving queries |
+//! | `inputs` | handles attempt outcomes, client disconnects, endpoint list updates and the shutdown |
+//! | `batch` | fires due timers, runs the decision core on the pending events, restarts it after a panic |
+//! | `actions` | executes the actions of the decision core |
+//! | `replies` | builds final answers, starts the second step, removes ended queries |
+//! | `query_table` | tables of open queries and their parts |
+//! | `recent_ids` | set of recently used wire ids |
+//! | `attempts` | table of attempts in flight |
+//! | `timers` | timing wheel |
+//! | `endpoint_list` | names, addresses and states of the index servers |
+//! | `start_times` | conversion of index server start times to the host's clock |
 //!
-//! Times are [`Micros`] of one monotonic clock that the caller reads and passes as `now`.
+//! # Terms
+//!
+//! An index server is one entry of the endpoint list. The decision core calls it a *replica* and refers to it
+//! by number ([`ReplicaId`]). A *part* is the work of a query on one shard, an *attempt* is one part sent to
+//! one replica, and a *call* is the message that carries one or more parts to a replica.
+//!
+//! # Time
+//!
+//! All times are [`Micros`] of one monotonic clock, the *host's clock*. The host does not read it: the caller
+//! passes the current time as `now`.
 
 mod actions;
 mod admission;
@@ -43,41 +58,40 @@
 use std::rc::Rc;
 use timers::Timers;
 
-/// The decision core of one front node and the state of all that it decides about.
+/// The decision core of one front node, with the queries, attempts, timers and endpoints that it refers to.
 pub struct Host {
-    /// The decision core.
     core: FrontNode,
     deployment: Rc<Deployment>,
-    /// The keys in the bodies of answers.
+    /// JSON keys of the answer bodies.
     body_keys: BodyKeys,
     counters: Rc<Counters>,
-    /// The seed of the core's random draws; a restarted core gets the next one.
+    /// Seed of the core's random number generator. It is incremented at each restart of the core.
     seed: u64,
-    /// Events that the core has not processed yet, in order.
+    /// Events for the next batch, in order.
     events: Vec<Event>,
-    /// Commands that the tasks have not taken yet, in order.
+    /// Commands that the caller has not taken yet, in order.
     commands: Vec<Command>,
     queries: QueryTable,
     attempts: AttemptTable,
     timers: Timers,
     endpoints: EndpointList,
-    /// Parts of queries that ended since the last batch, with attempts in flight: the core has to end those attempts
-    /// in the next batch.
+    /// Parts that had attempts in flight when their query ended. The core has to end these attempts in the
+    /// next batch.
     ended_parts: Vec<EndedPart>,
-    /// When all queries have to be answered because the front node shuts down.
+    /// Time by which all queries have to be answered; `None` unless the front node is shutting down.
     shutdown_deadline: Option<Micros>,
 }
 
-/// A part whose query has ended while attempts of it were in flight.
+/// A part that had attempts in flight when its query ended.
 #[derive(Clone, Copy, Debug)]
 struct EndedPart {
     part: Id,
-    /// How many attempts it has had; they are numbered from 0.
+    /// Number of attempts of the part so far. Attempts are numbered from 0.
     attempts: u32,
 }
 
 impl Host {
-    /// A host with a decision core that knows no replica yet.
+    /// Creates a host whose decision core knows no replicas yet.
     pub fn new(deployment: Rc<Deployment>, counters: Rc<Counters>, seed: u64, now: Micros) -> Host {
         Host {
             core: FrontNode::new(deployment.settings.clone(), seed, now),
@@ -96,33 +110,36 @@
         }
     }
 
-    /// The same host with other keys in the bodies of answers.
+    /// Sets the JSON keys of the answer bodies.
     #[must_use]
     pub fn with_body_keys(self, keys: &BodyKeys) -> Host {
         Host { body_keys: keys.clone(), ..self }
     }
 
-    /// A replica's endpoint, as long as it is remembered.
+    /// Returns the endpoint of a replica, or `None` if the host has no entry for it. Removed replicas keep
+    /// their entry for a while.
     pub fn endpoint(&self, replica: ReplicaId) -> Option<&Endpoint> {
         self.endpoints.endpoint(replica)
     }
 
-    /// A replica's endpoint, if the replica is in service.
+    /// Returns the endpoint of a replica, or `None` if the replica is not in service.
     pub fn endpoint_in_service(&self, replica: ReplicaId) -> Option<&Endpoint> {
         self.endpoints.endpoint_in_service(replica)
     }
 
-    /// When the replica of this name last started, by the host's clock, as far as that is known.
+    /// Returns the time of the last start of the replica with this name on the host's clock, or `None` if it
+    /// is unknown.
     pub fn started_at(&self, name: &str) -> Option<Micros> {
         self.endpoints.started_at(name)
     }
 
-    /// Whether any replica is in service.
+    /// Returns whether at least one replica is in service.
     pub fn can_serve(&self) -> bool {
         self.endpoints.can_serve()
     }
 
-    /// The sizes of all tables: one that grows with time, and not with the number of open queries, would show here.
+    /// Returns the sizes of all tables. They are bounded by the load and the size of the fleet; a size that
+    /// grows with uptime indicates a leak.
     pub fn table_sizes(&self) -> Vec<TableSize> {
         let mut sizes = self.queries.sizes().to_vec();
         sizes.push(self.attempts.size());
@@ -135,39 +152,41 @@
         sizes
     }
 
-    /// The number of queries that have no final answer yet.
+    /// Returns the number of queries without a final answer.
     pub fn open_queries(&self) -> usize {
         self.queries.open_queries()
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether events wait for the next batch.
+    /// Returns whether there are events for the next batch.
     pub fn has_pending_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// When [`Host::process_batch`] has to be called next for timers: no later than the next one is due.
+    /// Returns the time by which [`Host::process_batch`] has to be called to fire timers, or `None` if no
+    /// timer is set. It may be earlier than the next timer is due, but never later.
     pub fn next_timer(&self) -> Option<Micros> {
-        self.timers.next_check()
+        self.timers.next_wakeup()
     }
 
-    /// Commands that follow from an input without a decision. They have to be carried out before any other task runs:
-    /// they withdraw parts that are queued for a client that has disconnected or for an index server that is draining.
+    /// Takes the commands that inputs have produced outside of a batch. The caller has to execute them before
+    /// any other task runs, since they withdraw queued parts that must no longer be written: those of
+    /// disconnected clients, and those queued for index servers that are draining.
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
-    /// An id that is in use neither by a query or part nor by an attempt in flight.
+    /// Returns a new id that is not used by a query, a part, or the part of an attempt in flight.
     fn next_free_id(&mut self) -> Id {
         let attempts = &self.attempts;
         self.queries.next_free_id(|id| attempts.has_part(id))
     }
 
-    /// Updates the counters of a class, unless the settings have no such class.
+    /// Updates the query counters of a class. Does nothing if the settings have no class with this index.
     fn count_query(&self, class: usize, update: impl FnOnce(&QueryCounters)) {
         if let Some(class) = self.counters.classes.get(class) {
             update(&class.queries);
@@ -175,7 +194,8 @@
     }
 }
 
-/// A time of the host's clock as the links and the timing wheel count them: unsigned, in microseconds.
+/// Converts a time to the unsigned microseconds that connections and the timing wheel use. A negative time
+/// gives 0.
 fn clock_micros(at: Micros) -> u64 {
     at.0.max(0) as u64
 }
--- a/crates/node/src/host/query_table.rs
+++ b/crates/node/src/host/query_table.rs
@@ -1,4 +1,4 @@
-//! The table of open queries and their parts.
+//! Tables of the open queries and their parts.
 
 use super::interface::TableSize;
 use super::recent_ids::RecentIds;
@@ -9,55 +9,60 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// How much earlier the first part of a second step is sent than the others: its arrival ends the first step at the
-/// index servers, and parts that they read at the same moment are answered as errors.
-const SECOND_STEP_LEAD: Micros = Micros(1_000);
+/// Delay between the send of the first part of a second step and that of the other parts. The first part ends
+/// the first step at the index servers, and parts that they read at the same moment are answered with an
+/// error.
+const SECOND_STEP_DELAY: Micros = Micros(1_000);
 
-/// The step of a query that a part belongs to, or that a query is at.
+/// The current step of a query, or the step that a part belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryStep {
-    /// All parts of the request.
+    /// The first step, which consists of the parts of the client's request.
     First,
-    /// Parts at the shards that scored highest in the first step, for classes that have two steps.
+    /// The second step, for classes that have two: one part for each of the shards that scored highest in the
+    /// first step.
     Second,
 }
 
 /// An open query.
 #[derive(Debug)]
 pub(super) struct OpenQuery {
-    /// Its id on the wire.
+    /// Id of the query on the wire.
     pub(super) wire_id: String,
-    /// The payload that each part carries.
+    /// Text of the query, which each part carries to its index server.
     pub(super) text: Rc<str>,
+    /// Index of the query's class in the settings.
     pub(super) class: usize,
-    /// Its number among all queries, by which the decision core knows its parts.
+    /// Sequence number of the query, by which the events of its parts refer to it.
     pub(super) number: u64,
-    /// When it fails for want of an answer.
+    /// Time at which the query fails if it has not been answered.
     pub(super) deadline: Micros,
-    /// The timer of its deadline.
+    /// Timer of the deadline; `None` until it is set.
     pub(super) timer: Option<TimerKey>,
+    /// The current step.
     pub(super) step: QueryStep,
-    /// Whether the first step was complete when the second began.
+    /// Whether the answer of the first step was complete; `false` until the second step starts.
     pub(super) first_step_complete: bool,
-    /// When the first attempt of the second step was decided.
-    pub(super) second_step_began: Option<Micros>,
-    /// What its idempotency key adds to the option list of each part.
-    pub(super) idempotency_options: String,
-    /// What its second step adds to the option list of each part.
-    pub(super) second_step_options: String,
-    /// Its parts, of both steps.
+    /// Time of the first attempt of the second step; `None` until then.
+    pub(super) second_step_started: Option<Micros>,
+    /// Attributes that the idempotency key adds to each part, each preceded by a comma.
+    pub(super) idempotency_attributes: String,
+    /// Attributes that each part of the second step carries, each preceded by a comma.
+    pub(super) second_step_attributes: String,
+    /// Ids of the parts of both steps.
     pub(super) parts: Vec<Id>,
 }
 
 impl OpenQuery {
-    /// The earliest time at which an attempt of the second step, decided now, may be sent.
+    /// Returns the earliest time at which an attempt of the second step that starts at `now` may be sent:
+    /// `now` for the first attempt, and at least [`SECOND_STEP_DELAY`] after the first one for all others.
     pub(super) fn second_step_not_before(&mut self, now: Micros) -> Micros {
-        match self.second_step_began {
+        match self.second_step_started {
             None => {
-                self.second_step_began = Some(now);
+                self.second_step_started = Some(now);
                 now
             }
-            Some(began) => now.max(began + SECOND_STEP_LEAD),
+            Some(started) => now.max(started + SECOND_STEP_DELAY),
         }
     }
 }
@@ -65,7 +70,7 @@
 /// The answer to a part.
 #[derive(Debug)]
 pub(super) struct PartAnswer {
-    /// By it the second step chooses its shards.
+    /// Score of the answer, by which the shards of the second step are selected.
     pub(super) score: Score,
     pub(super) value: String,
 }
@@ -76,20 +81,20 @@
     pub(super) query: Id,
     pub(super) shard: u32,
     pub(super) step: QueryStep,
-    /// Attempts so far; they are numbered from 0.
+    /// Number of attempts so far. Attempts are numbered from 0.
     pub(super) attempts: u32,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(super) in_flight: u32,
-    /// The first answer to it.
+    /// The first answer received, if any.
     pub(super) answer: Option<PartAnswer>,
-    /// How the latest attempt that has ended did so.
+    /// Outcome of the attempt that ended last; `None` if no attempt has ended.
     latest_outcome: Option<Outcome>,
-    /// Whether an attempt has ended that may have run.
+    /// Whether any attempt that has ended may have run.
     may_have_run: bool,
 }
 
 impl OpenPart {
-    /// A part without attempts.
+    /// Creates a part without attempts.
     pub(super) fn new(query: Id, shard: u32, step: QueryStep) -> OpenPart {
         OpenPart {
             query,
@@ -103,15 +108,16 @@
         }
     }
 
-    /// Whether another attempt could run a non-idempotent part a second time.
-    pub(super) fn is_retry_forbidden(&self, effect: Idempotency) -> bool {
-        effect == Idempotency::NonIdempotent && (self.in_flight > 0 || self.may_have_run)
+    /// Returns whether another attempt must not be sent, because the part is not idempotent and an earlier
+    /// attempt may have run or may still run.
+    pub(super) fn is_retry_forbidden(&self, idempotency: Idempotency) -> bool {
+        idempotency == Idempotency::NonIdempotent && (self.in_flight > 0 || self.may_have_run)
     }
 
-    /// Enters one more attempt, counts it, and returns its number from 0.
+    /// Registers a new attempt, updates the retry counters, and returns the number of the attempt, from 0.
     pub(super) fn attempt_started(&mut self, counters: &Counters) -> u32 {
-        if let Some(cause) = self.retry_counter(&counters.retries) {
-            cause.increment();
+        if let Some(counter) = self.retry_counter(&counters.retries) {
+            counter.increment();
         }
         let number = self.attempts;
         counters.attempts.retries.add(u64::from(number > 0));
@@ -121,7 +127,7 @@
         number
     }
 
-    /// One of its attempts has ended.
+    /// Registers the end of an attempt.
     pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
         self.in_flight -= 1;
         self.latest_outcome = Some(outcome);
@@ -129,7 +135,8 @@
         self.may_have_run |= !never_ran;
     }
 
-    /// The counter for the cause of another attempt; none for the first.
+    /// Returns the counter for the cause of the next attempt: an attempt in flight (hedged request) or else
+    /// the latest outcome (retry). Returns `None` for the first attempt, and after an answer.
     fn retry_counter<'a>(&self, counters: &'a RetryCounters) -> Option<&'a Counter> {
         if self.in_flight > 0 {
             return Some(&counters.hedge);
@@ -147,27 +154,31 @@
     }
 }
 
-/// The open queries and parts, and the ids that name them.
+/// The open queries and their parts. Assigns their ids, and keeps recently used wire ids to reject
+/// duplicates.
 #[derive(Default)]
 pub(super) struct QueryTable {
     queries: HashMap<Id, OpenQuery>,
     by_wire_id: HashMap<String, Id>,
     parts: HashMap<Id, OpenPart>,
     recent_wire_ids: RecentIds,
-    /// The id given out last.
+    /// The id that was assigned last.
     pub(super) last_id: Id,
-    /// Whether the ids have wrapped around: from then on a new one may still be in use.
+    /// Whether the ids have wrapped around, so that the next one may still be in use.
     ids_wrapped: bool,
+    /// Sequence number of the next query.
     next_number: u64,
 }
 
 impl QueryTable {
-    /// Claims a query's wire id; false if it is in use by an open query or was claimed within `span`.
-    pub(super) fn claim_wire_id(&mut self, now: Micros, span: Micros, wire_id: &str) -> bool {
-        !self.by_wire_id.contains_key(wire_id) && self.recent_wire_ids.claim(now, span, wire_id)
+    /// Claims a wire id for a new query. Returns `false` if an open query uses it or if it was claimed within
+    /// the last `window`.
+    pub(super) fn claim_wire_id(&mut self, now: Micros, window: Micros, wire_id: &str) -> bool {
+        !self.by_wire_id.contains_key(wire_id) && self.recent_wire_ids.claim(now, window, wire_id)
     }
 
-    /// The next query by its number, at its first step and without parts; it is not in the table yet.
+    /// Creates a query with the next sequence number, in its first step and without parts. Does not add it to
+    /// the table.
     pub(super) fn new_query(
         &mut self,
         wire_id: String,
@@ -186,25 +197,25 @@
             timer: None,
             step: QueryStep::First,
             first_step_complete: false,
-            second_step_began: None,
-            idempotency_options: String::new(),
-            second_step_options: String::new(),
+            second_step_started: None,
+            idempotency_attributes: String::new(),
+            second_step_attributes: String::new(),
             parts: Vec::new(),
         }
     }
 
-    /// Enters a query.
+    /// Adds a query.
     pub(super) fn insert(&mut self, id: Id, query: OpenQuery) {
         self.by_wire_id.insert(query.wire_id.clone(), id);
         self.queries.insert(id, query);
     }
 
-    /// Enters a part.
+    /// Adds a part.
     pub(super) fn insert_part(&mut self, id: Id, part: OpenPart) {
         self.parts.insert(id, part);
     }
 
-    /// Removes a query; its parts stay until [`QueryTable::remove_part`].
+    /// Removes a query. Its parts have to be removed one by one with [`QueryTable::remove_part`].
     pub(super) fn remove(&mut self, id: Id) -> Option<OpenQuery> {
         let query = self.queries.remove(&id)?;
         self.by_wire_id.remove(&query.wire_id);
@@ -216,46 +227,47 @@
         self.parts.remove(&id)
     }
 
-    /// Takes a query out to change it; its wire id stays in use until [`QueryTable::return_query`].
+    /// Takes a query out of the table so that it can be changed together with the table. Its wire id stays in
+    /// use. The caller has to put it back with [`QueryTable::return_query`].
     pub(super) fn take_query(&mut self, id: Id) -> Option<OpenQuery> {
         self.queries.remove(&id)
     }
 
-    /// Puts a query back that was taken out.
+    /// Puts a query back that was taken out with [`QueryTable::take_query`].
     pub(super) fn return_query(&mut self, id: Id, query: OpenQuery) {
         self.queries.insert(id, query);
     }
 
-    /// An open query.
+    /// Returns the open query with this id.
     pub(super) fn query(&self, id: Id) -> Option<&OpenQuery> {
         self.queries.get(&id)
     }
 
-    /// All open queries with their ids, in no order.
+    /// Returns all open queries with their ids, in arbitrary order.
     pub(super) fn queries_mut(&mut self) -> impl Iterator<Item = (Id, &mut OpenQuery)> {
         self.queries.iter_mut().map(|(id, query)| (*id, query))
     }
 
-    /// The ids of all open queries in their order.
+    /// Returns the ids of all open queries in ascending order.
     pub(super) fn sorted_ids(&self) -> Vec<Id> {
         let mut ids: Vec<Id> = self.queries.keys().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// A part of an open query.
+    /// Returns the part with this id, or `None` if its query has ended.
     pub(super) fn part_mut(&mut self, id: Id) -> Option<&mut OpenPart> {
         self.parts.get_mut(&id)
     }
 
-    /// A part and its query; none if the query has ended.
+    /// Returns a part and its query, or `None` if the query has ended.
     pub(super) fn query_and_part_mut(&mut self, part: Id) -> Option<(&mut OpenQuery, &mut OpenPart)> {
         let part = self.parts.get_mut(&part)?;
         let query = self.queries.get_mut(&part.query)?;
         Some((query, part))
     }
 
-    /// A query's parts of one step, in the order in which they were added.
+    /// Returns the parts of one step of a query, in the order in which they were added.
     pub(super) fn parts_of_step<'a>(
         &'a self,
         query: &'a OpenQuery,
@@ -265,17 +277,17 @@
         parts.filter(move |part| part.step == step)
     }
 
-    /// The number of open queries.
+    /// Returns the number of open queries.
     pub(super) fn open_queries(&self) -> usize {
         self.queries.len()
     }
 
-    /// The number of open queries and parts, which the deployment limits.
+    /// Returns the total number of open queries and parts, which the deployment limits.
     pub(super) fn open_queries_and_parts(&self) -> usize {
         self.queries.len() + self.parts.len()
     }
 
-    /// An id that names no open query, no part, and nothing for which `is_in_use` is true.
+    /// Returns a new id that no open query and no part uses, and for which `is_in_use` returns `false`.
     pub(super) fn next_free_id(&mut self, is_in_use: impl Fn(Id) -> bool) -> Id {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
@@ -284,14 +296,14 @@
             if !self.ids_wrapped {
                 return id;
             }
-            let open = self.queries.contains_key(&id) || self.parts.contains_key(&id);
-            if !open && !is_in_use(id) {
+            let is_open = self.queries.contains_key(&id) || self.parts.contains_key(&id);
+            if !is_open && !is_in_use(id) {
                 return id;
             }
         }
     }
 
-    /// The sizes of its tables.
+    /// Returns the sizes of the tables. The size of `queries` includes the index by wire id.
     pub(super) fn sizes(&self) -> [TableSize; 3] {
         [
             TableSize { table: "queries", entries: self.queries.len() + self.by_wire_id.len() },
--- a/crates/node/src/host/replies.rs
+++ b/crates/node/src/host/replies.rs
@@ -1,4 +1,4 @@
-//! The end of queries: answers from the parts that are in, the second step, and the removal of what has ended.
+//! Final answers, the start of the second step, and the removal of ended queries.
 
 use super::interface::{Command, Reply};
 use super::query_table::{OpenQuery, QueryStep};
@@ -9,7 +9,7 @@
 use pinetrestle_protocol::query::{encode_answer_body, RequestedPart};
 use std::cmp::Ordering;
 
-/// A shard that answered in the first step, and the score of its answer.
+/// The score of a shard's answer in the first step.
 #[derive(Clone, Copy, Debug)]
 struct ScoredShard {
     score: Score,
@@ -17,15 +17,17 @@
 }
 
 impl ScoredShard {
-    /// Highest score first; equal or incomparable scores by shard.
-    fn by_rank(&self, other: &ScoredShard) -> Ordering {
+    /// Orders by descending score. Equal or incomparable scores are ordered by shard.
+    fn cmp_by_score(&self, other: &ScoredShard) -> Ordering {
         let by_score = other.score.partial_cmp(&self.score).unwrap_or(Ordering::Equal);
         by_score.then(self.shard.cmp(&other.shard))
     }
 }
 
 impl Host {
-    /// Answers a query from the parts that are in, or begins its second step with them.
+    /// Ends the current step of a query with the parts answered so far: starts the second step if one
+    /// follows, otherwise sends the final answer. The final answer counts as complete only if each step was
+    /// complete.
     pub(super) fn answer_query(&mut self, id: Id, complete: bool) {
         let Some(query) = self.queries.query(id) else { return };
         let class = self.deployment.settings.classes.get(query.class);
@@ -43,7 +45,8 @@
         });
     }
 
-    /// Adds the parts of the second step: at the shards with the highest scores among those that have answered.
+    /// Starts the second step of a query, with one part for each of the up to `max_parts` shards with the
+    /// highest scores among those that have answered.
     fn begin_second_step(&mut self, id: Id, first_step_complete: bool, max_parts: usize) {
         let Some(mut query) = self.queries.take_query(id) else { return };
         let parts = self.queries.parts_of_step(&query, QueryStep::First);
@@ -52,12 +55,12 @@
             .collect();
         let mut answered_shards: Vec<u32> = answered.iter().map(|scored| scored.shard).collect();
         answered_shards.sort_unstable();
-        answered.sort_by(ScoredShard::by_rank);
+        answered.sort_by(ScoredShard::cmp_by_score);
         answered.truncate(max_parts);
 
         query.step = QueryStep::Second;
         query.first_step_complete = first_step_complete;
-        query.second_step_options = second_step_attributes(&answered_shards, first_step_complete);
+        query.second_step_attributes = second_step_attributes(&answered_shards, first_step_complete);
         let weight = 1.0 / answered.len() as f64;
         for scored in &answered {
             let requested = RequestedPart { shard: scored.shard, weight, work_hint_us: None };
@@ -67,7 +70,8 @@
         self.queries.return_query(id, query);
     }
 
-    /// Gives a query its final answer, unless it has ended before.
+    /// Ends a query with this final answer and updates the counters of its class. Does nothing if the query
+    /// has already ended.
     pub(super) fn finish_query(&mut self, id: Id, reply: Reply, count: impl FnOnce(&QueryCounters)) {
         if let Some(query) = self.remove_query(id) {
             self.count_query(query.class, count);
@@ -75,8 +79,9 @@
         }
     }
 
-    /// Removes a query and its parts. Attempts of them that are still queued are withdrawn at once, before any other
-    /// task can write them; those that are written are for the decision core to cancel, where that is allowed.
+    /// Removes a query and its parts. Attempts that are still queued are withdrawn before any other task can
+    /// write them. Attempts whose write has started are left to the decision core, which cancels them if the
+    /// deployment allows that.
     pub(super) fn remove_query(&mut self, id: Id) -> Option<OpenQuery> {
         let query = self.queries.remove(id)?;
         self.timers.cancel(query.timer);
--- a/crates/node/src/host/start_times.rs
+++ b/crates/node/src/host/start_times.rs
@@ -1,40 +1,50 @@
-//! When index servers started, by the host's own monotonic clock.
+//! Conversion of index server start times from Unix time to the host's monotonic clock.
 //!
-//! The endpoint list states a start as Unix time of the index servers' wall clock (`since_ms`). The wall clock of this
-//! machine is not used: it may have been stepped, by seconds or by an hour. The two clocks differ by the epoch: the Unix
-//! time at which the host's clock stood at 0. No start is listed before it happened, so every start bounds the epoch from
-//! below. Taken at the greatest of these bounds, a server looks as if it had started later than it did, never earlier,
-//! by the shortest delay of a notification so far; before the first watch event, by the age of the youngest server of the
-//! first list.
+//! The endpoint list contains the start time of an index server as the Unix time of the server's wall clock
+//! (key `since_ms`). The conversion does not use the wall clock of this machine, because it may have been
+//! stepped by seconds or by an hour. Instead, it estimates the *epoch*: the Unix time at which the host's
+//! clock was at 0.
 //!
-//! The wall clocks of the index servers may be stepped as well, and a start stated an hour too late would leave the bound
-//! too great for ever. So a start first listed after the first list is dated no earlier than [`MAX_NOTIFICATION_DELAY`]
-//! before the list in which it was missing.
+//! A start is never listed before it happens, so each listed start gives a lower bound for the epoch: its
+//! Unix time minus the time on the host's clock at which it was listed. The estimate is the maximum of these
+//! bounds. It is never above the true epoch, so converted start times are never too early. They are too late
+//! by the shortest delay so far between a start and its notification; until the first watch event, by the age
+//! of the youngest server in the first list.
+//!
+//! The wall clocks of the index servers may be stepped as well. A start time that is an hour ahead would keep
+//! the estimate an hour too high for ever, and all later starts would appear an hour too old. So a start that
+//! was not in the first list is not converted to a time earlier than [`MAX_NOTIFICATION_DELAY`] before the
+//! list in which it was missing.
 
 use pinetrestle::interface::Micros;
 
-/// How long after it happened a start may be listed although discovery can be reached (protocol page: 6 s).
+/// Maximum time between a start and its notification while discovery is reachable (6 s in the protocol
+/// specification).
 const MAX_NOTIFICATION_DELAY: Micros = Micros(6_000_000);
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const MICROS_PER_MS: i64 = 1000;
 
-/// Converts stated start times to the host's clock.
+/// Converts Unix start times to the host's clock.
 #[derive(Default)]
 pub(super) struct StartTimes {
-    /// The greatest lower bound of the epoch so far, in microseconds of Unix time; none before any start was stated.
+    /// Highest lower bound for the epoch so far, in microseconds of Unix time; `None` until a start has been
+    /// listed.
     epoch_lower_bound: Option<i64>,
-    /// A start stated for the first time happened then or later; none before the first list.
+    /// Earliest time of the starts that the current update lists for the first time; `None` up to and
+    /// including the first update from discovery.
     earliest_new_start: Option<Micros>,
-    /// When the latest update came from discovery.
+    /// Time of the latest update from discovery.
     last_update: Option<Micros>,
-    /// Whether the watch was lost since: the next update then covers all of that time.
+    /// Whether the watch has been lost since the latest update. The next update then contains all changes
+    /// since the latest one.
     watch_lost: bool,
 }
 
 impl StartTimes {
-    /// An update is about to be applied, complete or with changes only, `cached` if it was stored before this process
-    /// started. It states these starts, in milliseconds of Unix time; 0 states none.
+    /// Processes the start times of an update, before the update is applied. `starts_unix_ms` are in
+    /// milliseconds of Unix time, 0 if unknown. `complete` states whether the update is a complete list,
+    /// `cached` whether it was stored before this process started.
     pub(super) fn observe_update(
         &mut self,
         now: Micros,
@@ -46,24 +56,25 @@
             let bound = latest.saturating_mul(MICROS_PER_MS).saturating_sub(now.0);
             self.epoch_lower_bound = Some(self.epoch_lower_bound.map_or(bound, |known| known.max(bound)));
         }
-        // A watch event comes as the change happens; a complete list, or the first update after a lost watch, covers
-        // all the time since the update before.
+        // A watch event arrives as the change happens. A complete list, and the first update after a lost
+        // watch, may contain any change since the previous update.
         let covers_time_since_last = complete || std::mem::take(&mut self.watch_lost);
         self.earliest_new_start = self.last_update.map(|last| {
-            let missing_at = if covers_time_since_last { last } else { now };
-            missing_at - MAX_NOTIFICATION_DELAY
+            let last_missing = if covers_time_since_last { last } else { now };
+            last_missing - MAX_NOTIFICATION_DELAY
         });
         if !cached {
             self.last_update = Some(now);
         }
     }
 
-    /// The watch on discovery was lost.
+    /// Handles the loss of the watch on the endpoint list.
     pub(super) fn watch_lost(&mut self) {
         self.watch_lost = true;
     }
 
-    /// The time, by the host's clock, of a start that is stated for the first time; none where none is stated.
+    /// Converts a start time of the current update that has not been listed before, in milliseconds of Unix
+    /// time, to the host's clock. Returns `None` if the start time is 0 (unknown).
     pub(super) fn to_host_clock(&self, started_unix_ms: i64) -> Option<Micros> {
         let epoch = self.epoch_lower_bound.filter(|_| started_unix_ms > 0)?;
         let by_epoch = Micros(started_unix_ms.saturating_mul(MICROS_PER_MS).saturating_sub(epoch));
--- a/crates/node/src/host/timers.rs
+++ b/crates/node/src/host/timers.rs
@@ -1,4 +1,4 @@
-//! The host's timers, on a timing wheel.
+//! The host's timers, stored in a timing wheel.
 
 use super::clock_micros;
 use super::interface::TableSize;
@@ -6,48 +6,49 @@
 use pinetrestle_protocol::connection::AttemptId;
 use pinetrestle_wheel::{TimerKey, TimingWheel};
 
-/// What a timer is for. Timers that are due at the same time fire in the order of this enum.
+/// Purpose of a timer. Timers that are due at the same time fire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// A timer set by the decision core.
     Core,
-    /// An attempt times out.
+    /// Timeout of an attempt.
     AttemptTimeout(AttemptId),
-    /// A query has to be answered.
+    /// Deadline of a query.
     QueryDeadline(Id),
 }
 
-/// A timer that is due, ordered by time first.
+/// A timer that is due. Ordered by time, then by purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueTimer {
+    /// Time at which the timer is due, in microseconds of the host's clock.
     at: u64,
     timer: Timer,
 }
 
-/// All timers that are set.
+/// The timers that are set.
 pub(super) struct Timers {
     wheel: TimingWheel<Timer>,
 }
 
 impl Timers {
-    /// No timer set.
+    /// Creates an empty set of timers.
     pub(super) fn new() -> Timers {
         Timers { wheel: TimingWheel::new(0) }
     }
 
-    /// Sets a timer.
+    /// Sets a timer that is due at the given time. Returns the key by which it can be cancelled.
     pub(super) fn set(&mut self, at: Micros, timer: Timer) -> TimerKey {
         self.wheel.insert(clock_micros(at), timer)
     }
 
-    /// Cancels a timer, where there is one that has not fired.
+    /// Cancels a timer. Does nothing for `None` or if the timer has already fired.
     pub(super) fn cancel(&mut self, timer: Option<TimerKey>) {
         if let Some(key) = timer {
             self.wheel.cancel(key);
         }
     }
 
-    /// Takes the timers that are due, in the order in which they fire.
+    /// Removes and returns the due timers, in the order in which they fire.
     pub(super) fn take_due(&mut self, now: Micros) -> Vec<Timer> {
         let mut due: Vec<DueTimer> = Vec::new();
         while let Some((at, timer)) = self.wheel.pop(clock_micros(now)) {
@@ -57,12 +58,13 @@
         due.into_iter().map(|due| due.timer).collect()
     }
 
-    /// When [`Timers::take_due`] has to be called next: no later than the next timer is due.
-    pub(super) fn next_check(&self) -> Option<Micros> {
+    /// Returns the time by which [`Timers::take_due`] has to be called, or `None` if no timer is set. It may
+    /// be earlier than the next timer is due, but never later.
+    pub(super) fn next_wakeup(&self) -> Option<Micros> {
         self.wheel.next_wakeup().map(|at| Micros(i64::try_from(at).unwrap_or(i64::MAX)))
     }
 
-    /// The number of timers set.
+    /// Returns the size of the table of timers.
     pub(super) fn size(&self) -> TableSize {
         TableSize { table: "timers", entries: self.wheel.len() }
     }
