--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop that owns the decision host: it feeds the host with the tasks' messages and executes its commands.
+//! Event loop that owns the [`Host`]: passes the messages of the I/O tasks to it and executes its commands.
 
 use crate::host::{AdmitError, Command, Host, QueryRequest, Reply};
 use crate::invariants::{Invariants, Violation};
@@ -17,89 +17,93 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 
-/// How long the loop sleeps at most where no timer is due.
+/// Maximum time that the loop sleeps if no timer is set.
 const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
-/// Turns that the other tasks get before a batch is decided: each reads what its socket holds.
-const TURNS_BEFORE_BATCH: usize = 1;
-/// The same after a pause of the process. What discovery sent meanwhile takes more turns: from its socket by the
-/// connection's task and that of the watches to the event loop, and one to spare.
-const TURNS_AFTER_PAUSE: usize = 4;
+/// Number of times that the loop yields before each batch, so that the other tasks can read from their
+/// sockets.
+const YIELDS_BEFORE_BATCH: usize = 1;
+/// Number of times that the loop yields before a batch that follows a pause of the process. Data that
+/// discovery sent during the pause reaches the event loop only after several yields, since it passes from the
+/// socket through the task of the connection and the task of the watches. One more yield is a margin.
+const YIELDS_AFTER_PAUSE: usize = 4;
 
-/// The code in the flight recorder of an alarm for attempts that outlive their query.
-const STRAY_ATTEMPTS_ALARM: u8 = 1;
+/// Number of the flight recorder's alarm for attempts that are in flight although their query has ended. The
+/// alarms with higher numbers are the [`Violation`]s.
+const ORPHANED_ATTEMPTS_ALARM: u8 = 1;
 
-/// Sends the final answer to a query, or why it was not admitted, to its client's connection.
+/// Sends the final answer of a query, or the reason for which it was not admitted, to its client's
+/// connection.
 type ReplySender = oneshot::Sender<Result<Reply, AdmitError>>;
 
-/// An admitted query that has no final answer yet.
+/// An admitted query without a final answer.
 struct PendingQuery {
-    /// The number by which its client's connection knows it.
+    /// Number by which the client's connection refers to the query.
     token: u64,
-    /// Its key in the flight recorder.
+    /// Key of the query in the flight recorder.
     key: QueryKey,
-    /// Where its answer goes.
+    /// Receives the answer.
     reply: ReplySender,
 }
 
-/// The pending queries, by the host's ids and by the tokens of clients' connections.
+/// The pending queries, indexed by the host's ids and by the tokens that client connections use.
 #[derive(Default)]
 pub(crate) struct PendingQueries {
     by_id: HashMap<Id, PendingQuery>,
-    ids: HashMap<u64, Id>,
+    ids_by_token: HashMap<u64, Id>,
 }
 
 impl PendingQueries {
     fn insert(&mut self, id: Id, query: PendingQuery) {
-        self.ids.insert(query.token, id);
+        self.ids_by_token.insert(query.token, id);
         self.by_id.insert(id, query);
     }
 
     fn remove(&mut self, id: Id) -> Option<PendingQuery> {
         let query = self.by_id.remove(&id)?;
-        self.ids.remove(&query.token);
+        self.ids_by_token.remove(&query.token);
         Some(query)
     }
 
     fn id_of(&self, token: u64) -> Option<Id> {
-        self.ids.get(&token).copied()
+        self.ids_by_token.get(&token).copied()
     }
 }
 
-/// The event loop and all that it works with.
+/// State of the event loop.
 pub(crate) struct EventLoop {
-    /// The decision host.
+    /// Host of the decision core.
     pub(crate) host: Host,
     /// Connections to index servers.
     pub(crate) pools: ConnectionPools,
-    /// When the host's clock stood at 0.
+    /// Instant at which the host's clock was at 0.
     pub(crate) clock_origin: Instant,
-    /// Messages of the tasks.
+    /// Messages of the I/O tasks.
     pub(crate) inbox: mpsc::Receiver<Message>,
-    /// Asks the discovery task to open a watch.
+    /// Requests to the discovery task to open a watch.
     pub(crate) watch_requests: mpsc::Sender<()>,
-    /// Queries that wait for their final answer.
+    /// Admitted queries without a final answer.
     pub(crate) pending: PendingQueries,
-    /// Set to whether the front node can serve queries.
+    /// Updated after each batch: whether the front node is ready to serve queries.
     pub(crate) ready: Rc<Cell<bool>>,
-    /// A shutdown was requested: the front node is not ready any more.
+    /// Whether a shutdown was requested. The front node is then no longer ready.
     pub(crate) stopping: bool,
-    /// Records each event of a query.
+    /// Flight recorder for the events of queries and parts.
     pub(crate) recorder: Rc<Recorder>,
-    /// Checks the rules of the front node.
+    /// Runtime checks of the front node's invariants.
     pub(crate) invariants: Rc<Invariants>,
-    /// Knows whether the process has just been paused.
+    /// Detects pauses of the process.
     pub(crate) pause_detector: Rc<PauseDetector>,
-    /// For remarks of the decision core.
+    /// Log for the lines that the decision core writes.
     pub(crate) log: Logger,
 }
 
 impl EventLoop {
-    /// Runs until no task can send a message any more.
+    /// Runs until all senders of messages have been dropped.
     pub(crate) async fn run(mut self) {
         loop {
             if !self.host.has_pending_events() {
-                let wake_at = self.next_timer();
+                let wake_at = self.next_wakeup();
                 tokio::select! {
                     message = self.inbox.recv() => match message {
                         Some(message) => self.handle_message(message),
@@ -109,8 +113,8 @@
                 }
             }
             self.drain_inbox().await;
-            self.decide();
-            // Each task gets its turn, even while the host has one event after the other.
+            self.process_batch();
+            // Lets the other tasks run even if the host always has pending events.
             yield_now().await;
         }
     }
@@ -123,19 +127,20 @@
         Micros(instant.duration_since(self.clock_origin).as_micros() as i64)
     }
 
-    fn next_timer(&self) -> Instant {
+    fn next_wakeup(&self) -> Instant {
         match self.host.next_timer() {
             Some(at) => self.clock_origin + Duration::from_micros(at.0.max(0) as u64),
             None => Instant::now() + MAX_SLEEP,
         }
     }
 
-    /// Lets the other tasks read their sockets and takes what they send, before anything is decided: after a pause of
-    /// the machine a client may have left, and an answer may have come, for what is about to be sent.
+    /// Lets the other tasks read from their sockets and handles their messages, before the next batch. After
+    /// a pause of the machine, a client may have disconnected and answers may have arrived; the decision core
+    /// has to know this before it decides what to send.
     async fn drain_inbox(&mut self) {
-        let turns =
-            if self.pause_detector.has_just_paused() { TURNS_AFTER_PAUSE } else { TURNS_BEFORE_BATCH };
-        for _ in 0..turns {
+        let yields =
+            if self.pause_detector.has_just_paused() { YIELDS_AFTER_PAUSE } else { YIELDS_BEFORE_BATCH };
+        for _ in 0..yields {
             yield_now().await;
             while let Ok(message) = self.inbox.try_recv() {
                 self.handle_message(message);
@@ -143,8 +148,8 @@
         }
     }
 
-    /// Decides one batch of events and executes the commands.
-    fn decide(&mut self) {
+    /// Has the host process one batch of events and executes the resulting commands.
+    fn process_batch(&mut self) {
         let now = self.now();
         for command in self.host.process_batch(now) {
             self.execute(command);
@@ -152,7 +157,8 @@
         self.ready.set(!self.stopping && self.host.can_serve());
     }
 
-    /// Hands a message to the host and executes what follows from it without a decision.
+    /// Passes a message to the host and executes the commands that the host returns without running the
+    /// decision core.
     fn handle_message(&mut self, message: Message) {
         self.dispatch(message);
         for command in self.host.take_commands() {
@@ -164,7 +170,7 @@
         let now = self.now();
         match message {
             Message::Query { token, request, reply } => self.on_query(now, token, *request, reply),
-            Message::ClientDisconnected { token } => self.on_client_gone(token),
+            Message::ClientDisconnected { token } => self.on_client_disconnected(token),
             Message::AttemptAnswered(answer) => {
                 self.pools.attempt_answered(answer.attempt_id);
                 self.host.attempt_answered(now, answer);
@@ -174,9 +180,9 @@
             }
             Message::AttemptsUnsent(attempt_ids) => {
                 self.pools.attempts_withdrawn(&attempt_ids);
-                self.attempts_unsent(now, attempt_ids);
+                self.report_unsent(now, attempt_ids);
             }
-            Message::EndpointUpdate(event) => self.host.endpoint_update(now, &event, false),
+            Message::EndpointUpdate(update) => self.host.endpoint_update(now, &update, false),
             Message::WatchFailed => self.host.endpoint_watch_failed(),
             Message::Shutdown { deadline } => {
                 self.stopping = true;
@@ -195,15 +201,15 @@
                 self.invariants.query_admitted(key);
                 self.pending.insert(id, PendingQuery { token, key, reply });
             }
-            Err(rejection) => {
+            Err(error) => {
                 self.recorder.record(|| Record::for_query(EventKind::QueryNotAccepted, key));
-                // A client that has left meanwhile needs no answer.
-                let _ = reply.send(Err(rejection));
+                // Fails if the client has disconnected in the meantime. It needs no answer then.
+                let _ = reply.send(Err(error));
             }
         }
     }
 
-    fn on_client_gone(&mut self, token: u64) {
+    fn on_client_disconnected(&mut self, token: u64) {
         let Some(id) = self.pending.id_of(token) else { return };
         if let Some(query) = self.pending.remove(id) {
             self.invariants.query_finished(query.key);
@@ -211,8 +217,8 @@
         self.host.client_disconnected(id);
     }
 
-    fn on_connection_closed(&mut self, now: Micros, replica: ReplicaId, number: u64, local_fault: bool) {
-        let closed = self.pools.connection_closed(replica, number);
+    fn on_connection_closed(&mut self, now: Micros, replica: ReplicaId, connection: u64, local_fault: bool) {
+        let closed = self.pools.connection_closed(replica, connection);
         for LostAttempt { attempt_id, written } in closed.lost_attempts {
             if local_fault {
                 self.host.attempt_not_sent(now, attempt_id);
@@ -220,13 +226,15 @@
                 self.host.connection_lost(now, attempt_id, written);
             }
         }
-        // No byte of these calls was written: they are sent again, if their index server is still in service.
+        // The write of these calls had not started, so they are sent again if the replica is still in
+        // service.
         for parts in closed.unsent_calls {
             self.send(replica, parts, now);
         }
     }
 
-    fn attempts_unsent(&mut self, now: Micros, attempt_ids: Vec<AttemptId>) {
+    /// Reports to the host that attempts were not sent.
+    fn report_unsent(&mut self, now: Micros, attempt_ids: Vec<AttemptId>) {
         for attempt_id in attempt_ids {
             self.host.attempt_not_sent(now, attempt_id);
         }
@@ -246,7 +254,7 @@
                 let now = self.now();
                 self.invariants.endpoint_draining(replica);
                 let unsent = self.pools.drain_replica(replica);
-                self.attempts_unsent(now, unsent);
+                self.report_unsent(now, unsent);
             }
             Command::Withdraw(attempt_id) => {
                 if self.pools.withdraw(attempt_id) {
@@ -255,11 +263,11 @@
             }
             Command::Abandon(attempt_id) => self.pools.cancel(attempt_id),
             Command::Reply(id, reply) => self.reply(id, reply),
-            // The channel holds one request: a second one that waits would ask for the same.
+            // The channel has room for one request. If it is full, that request covers this one.
             Command::WatchEndpoints => drop(self.watch_requests.try_send(())),
             Command::ReportOrphanedAttempts(attempts) => {
                 let record = Record::for_query(EventKind::InvariantViolated, 0).with_value(attempts as u64);
-                self.recorder.raise_alarm(STRAY_ATTEMPTS_ALARM, record);
+                self.recorder.raise_alarm(ORPHANED_ATTEMPTS_ALARM, record);
             }
             Command::ReportForbiddenRetry(query) => {
                 self.invariants.report_violation(Violation::UnsafeRetry, query_key(&query))
@@ -270,20 +278,21 @@
 
     fn reply(&mut self, id: Id, reply: Reply) {
         let Some(query) = self.pending.remove(id) else { return };
-        // The codes of answers in the flight recorder.
-        let kind = match &reply {
+        // Codes of the answers in the flight recorder.
+        let reply_code = match &reply {
             Reply::Served { .. } => 0,
             Reply::Rejected { .. } => 1,
             Reply::Failed => 2,
         };
-        self.recorder.record(|| Record::for_query(EventKind::ReplyDecided, query.key).with_detail(kind));
+        self.recorder
+            .record(|| Record::for_query(EventKind::ReplyDecided, query.key).with_detail(reply_code));
         self.invariants.query_finished(query.key);
-        // A client that has left meanwhile needs no answer.
+        // Fails if the client has disconnected in the meantime. It needs no answer then.
         let _ = query.reply.send(Ok(reply));
     }
 
-    /// Sends a call to a replica; attempts that can't be sent are reported to the host as lost before any byte of them
-    /// was written.
+    /// Sends a call to a replica. Attempts that can't be sent are reported to the host as lost before they
+    /// were written.
     fn send(&mut self, replica: ReplicaId, parts: Vec<OutgoingPart>, now: Micros) {
         let unsent = match self.host.endpoint_in_service(replica) {
             Some(endpoint) => {
--- a/crates/node/src/host/actions.rs
+++ b/crates/node/src/host/actions.rs
@@ -14,7 +14,7 @@
 
 /// The fields of an [`Action::Attempt`].
 #[derive(Clone, Copy, Debug)]
-struct AttemptOrder {
+struct AttemptRequest {
     part: Id,
     replica: ReplicaId,
     /// Timeout of the attempt; 0 stands for the time until the deadline of the query.
@@ -48,8 +48,8 @@
     fn execute_action(&mut self, now: Micros, action: Action, open_calls: &mut OpenCalls) {
         match action {
             Action::Attempt { part, replica, timeout, send_within } => {
-                let order = AttemptOrder { part, replica, timeout, send_within };
-                if let Some(outgoing) = self.start_attempt(now, order) {
+                let request = AttemptRequest { part, replica, timeout, send_within };
+                if let Some(outgoing) = self.start_attempt(now, request) {
                     self.add_to_call(replica, outgoing, open_calls);
                 }
             }
@@ -59,7 +59,7 @@
                     self.commands.push(Command::Abandon(attempt_id));
                 }
             }
-            Action::Answer { query, complete } => self.answer_query(query, complete),
+            Action::Answer { query, complete } => self.finish_step(query, complete),
             Action::Reject { query, retry_after } => {
                 let retry_after = retry_after.map(|wait| wait.0);
                 let reply = Reply::Rejected { retry_after };
@@ -94,18 +94,18 @@
     /// Adds an attempt to the table of attempts in flight and returns the part to send. An attempt that must
     /// not be sent ends immediately, which is reported to the decision core in the next batch, and `None` is
     /// returned.
-    fn start_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<OutgoingPart> {
+    fn start_attempt(&mut self, now: Micros, request: AttemptRequest) -> Option<OutgoingPart> {
         self.counters.attempts.sent.increment();
         self.counters.attempts.in_flight.increment();
-        let prepared = self.prepare_attempt(now, order);
+        let prepared = self.prepare_attempt(now, request);
         let attempt_id = self.attempts.insert(InFlightAttempt {
-            part: order.part,
+            part: request.part,
             number: prepared.as_ref().map_or(0, |prepared| prepared.number),
-            replica: order.replica,
+            replica: request.replica,
             sent_at: now,
             timer: None,
         });
-        self.endpoints.attempt_started(order.replica);
+        self.endpoints.attempt_started(request.replica);
         let Some(PreparedAttempt { timeout, outgoing: Some(outgoing), .. }) = prepared else {
             self.end_attempt(now, attempt_id, Outcome::NotSent);
             return None;
@@ -121,9 +121,9 @@
 
     /// Updates the part and the counters for a new attempt and builds the part to send. Returns `None` if the
     /// query has ended.
-    fn prepare_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<PreparedAttempt> {
+    fn prepare_attempt(&mut self, now: Micros, request: AttemptRequest) -> Option<PreparedAttempt> {
         let settings = &self.deployment.settings;
-        let (query, part) = self.queries.query_and_part_mut(order.part)?;
+        let (query, part) = self.queries.query_and_part_mut(request.part)?;
         let idempotency = settings.classes.get(query.class).map(|class| class.idempotency);
         let retry_forbidden = idempotency.is_some_and(|idempotency| part.is_retry_forbidden(idempotency));
         if retry_forbidden {
@@ -132,7 +132,7 @@
         let number = part.attempt_started(&self.counters);
 
         let time_left = query.deadline - now;
-        let timeout = if order.timeout == Micros(0) { time_left } else { order.timeout.min(time_left) };
+        let timeout = if request.timeout == Micros(0) { time_left } else { request.timeout.min(time_left) };
         let (second_step_name, not_before) = match part.step {
             QueryStep::First => (None, now),
             QueryStep::Second => {
@@ -149,7 +149,7 @@
             attributes: format!("{}{}", query.idempotency_attributes, query.second_step_attributes),
             text: query.text.clone(),
             deadline_us: clock_micros(now + timeout),
-            start_before_us: order.send_within.map(|within| clock_micros(now + within)),
+            start_before_us: request.send_within.map(|within| clock_micros(now + within)),
             not_before_us: clock_micros(not_before),
         });
         Some(PreparedAttempt { number, timeout, outgoing })
--- a/crates/node/src/host/admission.rs
+++ b/crates/node/src/host/admission.rs
@@ -18,8 +18,8 @@
     pub fn admit(&mut self, now: Micros, request: QueryRequest) -> Result<Id, AdmitError> {
         self.check_duplicate(now, &request)?;
         self.check_capacity(&request)?;
-        let expires_in = self.limit_to_shutdown(now, request.expires_in);
-        let work_hint = total_work(&request.parts);
+        let expires_in = self.limit_to_shutdown_deadline(now, request.expires_in);
+        let work_hint = total_work_hint(&request.parts);
         let (class, is_client_retry) = (request.class, request.is_client_retry);
 
         let mut query =
@@ -41,7 +41,7 @@
         }
         query.timer = Some(self.timers.set(query.deadline, Timer::QueryDeadline(id)));
         self.queries.insert(id, query);
-        self.count_query(class, |queries| {
+        self.update_query_counters(class, |queries| {
             queries.admitted.increment();
             queries.open.increment();
             queries.client_retries.add(u64::from(is_client_retry));
@@ -83,13 +83,13 @@
         if needed <= limits.max_in_flight as usize {
             return Ok(());
         }
-        self.count_query(request.class, |queries| queries.over_capacity.increment());
+        self.update_query_counters(request.class, |queries| queries.over_capacity.increment());
         let retry_after = limits.send_retry_after.then_some(limits.max_retry_after.0);
         Err(AdmitError::OverCapacity { retry_after })
     }
 
     /// Limits the time left for a query to the time until the shutdown deadline, if there is one.
-    fn limit_to_shutdown(&self, now: Micros, expires_in: Micros) -> Micros {
+    fn limit_to_shutdown_deadline(&self, now: Micros, expires_in: Micros) -> Micros {
         match self.shutdown_deadline {
             Some(deadline) => expires_in.min(deadline - now),
             None => expires_in,
@@ -98,7 +98,7 @@
 }
 
 /// Returns the total estimated work of the parts for which the client stated it, or `None` if it stated none.
-fn total_work(parts: &[RequestedPart]) -> Option<Micros> {
+fn total_work_hint(parts: &[RequestedPart]) -> Option<Micros> {
     let work_hints: Vec<i64> = parts.iter().filter_map(|part| part.work_hint_us).collect();
     (!work_hints.is_empty()).then(|| Micros(work_hints.iter().sum()))
 }
--- a/crates/node/src/host/attempts.rs
+++ b/crates/node/src/host/attempts.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns whether an attempt of a part is in flight. Takes time proportional to the size of the table.
-    pub(super) fn has_part(&self, part: Id) -> bool {
+    pub(super) fn is_part_in_flight(&self, part: Id) -> bool {
         self.attempts.values().any(|attempt| attempt.part == part)
     }
 
--- a/crates/node/src/host/batch.rs
+++ b/crates/node/src/host/batch.rs
@@ -78,7 +78,7 @@
     /// reported to the core as a client disconnect.
     fn fail_overdue_query(&mut self, query: Id) {
         let Some(removed) = self.remove_query(query) else { return };
-        self.count_query(removed.class, |queries| {
+        self.update_query_counters(removed.class, |queries| {
             queries.failed.increment();
             queries.overdue.increment();
         });
--- a/crates/node/src/host/mod.rs
+++ b/crates/node/src/host/mod.rs
@@ -183,11 +183,11 @@
     /// Returns a new id that is not used by a query, a part, or the part of an attempt in flight.
     fn next_free_id(&mut self) -> Id {
         let attempts = &self.attempts;
-        self.queries.next_free_id(|id| attempts.has_part(id))
+        self.queries.next_free_id(|id| attempts.is_part_in_flight(id))
     }
 
     /// Updates the query counters of a class. Does nothing if the settings have no class with this index.
-    fn count_query(&self, class: usize, update: impl FnOnce(&QueryCounters)) {
+    fn update_query_counters(&self, class: usize, update: impl FnOnce(&QueryCounters)) {
         if let Some(class) = self.counters.classes.get(class) {
             update(&class.queries);
         }
--- a/crates/node/src/host/replies.rs
+++ b/crates/node/src/host/replies.rs
@@ -28,7 +28,7 @@
     /// Ends the current step of a query with the parts answered so far: starts the second step if one
     /// follows, otherwise sends the final answer. The final answer counts as complete only if each step was
     /// complete.
-    pub(super) fn answer_query(&mut self, id: Id, complete: bool) {
+    pub(super) fn finish_step(&mut self, id: Id, complete: bool) {
         let Some(query) = self.queries.query(id) else { return };
         let class = self.deployment.settings.classes.get(query.class);
         let second_step_parts = class.map_or(0, |class| class.second_step_parts as usize);
@@ -66,7 +66,7 @@
             let requested = RequestedPart { shard: scored.shard, weight, work_hint_us: None };
             self.add_part(id, &mut query, &requested);
         }
-        self.count_query(query.class, |queries| queries.second_steps.increment());
+        self.update_query_counters(query.class, |queries| queries.second_steps.increment());
         self.queries.return_query(id, query);
     }
 
@@ -74,7 +74,7 @@
     /// has already ended.
     pub(super) fn finish_query(&mut self, id: Id, reply: Reply, count: impl FnOnce(&QueryCounters)) {
         if let Some(query) = self.remove_query(id) {
-            self.count_query(query.class, count);
+            self.update_query_counters(query.class, count);
             self.commands.push(Command::Reply(id, reply));
         }
     }
@@ -93,7 +93,7 @@
             let attempt_ids = self.attempts.ids_of_part(*part_id, part.attempts);
             self.commands.extend(attempt_ids.map(Command::Withdraw));
         }
-        self.count_query(query.class, |queries| queries.open.decrement());
+        self.update_query_counters(query.class, |queries| queries.open.decrement());
         Some(query)
     }
 }
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -1,17 +1,18 @@
-//! Invariants of the front node, checked as it runs.
+//! Invariants of the front node, checked at run time.
 //!
-//! They are checked where a part's first byte is written, where a client's connection ends, and where an attempt is
-//! entered. Each check is one look-up, whatever the size of the fleet. The decision core keeps these invariants;
-//! a violation is a defect of the node: it is counted under `violations`, noted by the flight recorder, and logged up
-//! to [`MAX_LOGGED`] times.
+//! The checks run when the first byte of a part is written, when the connection of a client ends, and when an
+//! attempt is started. Each check is a single hash look-up, so its cost does not depend on the size of the
+//! fleet. A violation is a defect of the front node, since the decision core has to maintain these
+//! invariants. Violations are counted in the group `violations` and noted by the flight recorder. The first
+//! [`MAX_LOGGED`] are also logged.
 //!
 //! | counter | violation |
 //! | --- | --- |
-//! | `sent_after_end` | a part started after its query's final answer was decided or its client was found to have disconnected |
-//! | `sent_out_of_service` | a part sent to an index server after it was known to be draining or to have left |
-//! | `repeated_in_vain` | a retry of a part that may have run and is not idempotent |
-//! | `sent_too_late` | a part started after its deadline, or outside its idempotency window |
-//! | `closed_unanswered` | a connection closed by the node with a request that was read and got no final answer |
+//! | `sent_after_end` | [`Violation::SentAfterEnd`] |
+//! | `sent_out_of_service` | [`Violation::SentOutOfService`] |
+//! | `repeated_in_vain` | [`Violation::UnsafeRetry`] |
+//! | `sent_too_late` | [`Violation::SentPastDeadline`] |
+//! | `closed_unanswered` | [`Violation::ClosedUnanswered`] |
 
 use crate::counters::{Counter, Counters};
 use pinetrestle::interface::ReplicaId;
@@ -21,76 +22,78 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Index servers remembered as draining or gone. Where one more comes, all are dropped, and parts sent to them go
-/// unchecked.
+/// Maximum number of draining or removed replicas that are tracked. Before one more is added, the set is
+/// cleared; parts sent to the replicas that were in it are not detected any more.
 const MAX_DRAINING: usize = 4096;
-/// Violations that are logged; all are counted.
+/// Maximum number of violations that are logged. All violations are counted.
 const MAX_LOGGED: u32 = 20;
 
-/// One invariant. Its number stands in the flight recorder's ring; 1 is an attempt that outlives its query (the counter
-/// `own.stray_attempts`).
+/// A violated invariant. The flight recorder stores the number of the variant; the number 1 stands for an
+/// attempt in flight whose query has ended (counter `own.stray_attempts`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// No part is started once its query has ended.
+    /// A part was started after the final answer to its query was decided, or after its client was found to
+    /// have disconnected.
     SentAfterEnd = 2,
-    /// No part is sent to an index server that is draining or has left.
+    /// A part was sent to an index server that was known to be draining or removed.
     SentOutOfService = 3,
-    /// No part that may have run is retried unless it is idempotent.
+    /// The decision core ordered a retry of a part that may have run and is not idempotent.
     UnsafeRetry = 4,
-    /// No part is started after its deadline or outside its idempotency window.
+    /// A part was started after its deadline or outside its idempotency window.
     SentPastDeadline = 5,
-    /// No connection is closed by the node with a request unanswered.
+    /// The node closed a connection on which it had read a request and not sent the final answer.
     ClosedUnanswered = 6,
 }
 
 /// A part whose first byte has just been written.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PartStart {
-    /// The key of its query.
+    /// Key of the part's query.
     pub(crate) query: QueryKey,
-    /// The index server it is sent to.
+    /// The replica that the part is sent to.
     pub(crate) replica: ReplicaId,
-    /// Its deadline or its idempotency window had passed.
+    /// Whether the deadline or the idempotency window of the part had passed.
     pub(crate) past_deadline: bool,
 }
 
-/// The state that the checks look up.
+/// The state that the checks need, and the counters, flight recorder and log that violations are reported to.
 pub(crate) struct Invariants {
     counters: Rc<Counters>,
     recorder: Rc<Recorder>,
     log: Logger,
-    /// Violations logged so far.
+    /// Number of violations logged so far.
     logged: Cell<u32>,
-    /// Queries that are open.
-    open: RefCell<HashSet<QueryKey>>,
-    /// Index servers that are draining or have left, unless a later endpoint list has them in service again.
+    /// Keys of the open queries.
+    open_queries: RefCell<HashSet<QueryKey>>,
+    /// Replicas that are draining or removed. A replica is deleted from the set when a call is sent to it
+    /// after a later endpoint list has put it in service again.
     draining: RefCell<HashSet<ReplicaId>>,
 }
 
 impl Invariants {
-    /// No query is open and no index server is draining yet.
+    /// Creates the checks, without any open query or draining replica.
     pub(crate) fn new(counters: Rc<Counters>, recorder: Rc<Recorder>, log: Logger) -> Invariants {
         Invariants {
             counters,
             recorder,
             log,
             logged: Cell::new(0),
-            open: RefCell::default(),
+            open_queries: RefCell::default(),
             draining: RefCell::default(),
         }
     }
 
-    /// A query is open from now on.
+    /// Notes that a query was admitted.
     pub(crate) fn query_admitted(&self, query: QueryKey) {
-        self.open.borrow_mut().insert(query);
+        self.open_queries.borrow_mut().insert(query);
     }
 
-    /// A query's final answer is decided, or its client has disconnected.
+    /// Notes that the final answer to a query was decided, or that its client has disconnected.
     pub(crate) fn query_finished(&self, query: QueryKey) {
-        self.open.borrow_mut().remove(&query);
+        self.open_queries.borrow_mut().remove(&query);
     }
 
-    /// An index server is draining or has left the endpoint list.
+    /// Notes that a replica is draining or was removed from the endpoint list.
     pub(crate) fn endpoint_draining(&self, replica: ReplicaId) {
         let mut draining = self.draining.borrow_mut();
         if draining.len() >= MAX_DRAINING {
@@ -99,14 +102,15 @@
         draining.insert(replica);
     }
 
-    /// A call is sent to an index server that the endpoint list has in service now.
+    /// Notes that a replica is in service according to the current endpoint list. Invoked whenever a call is
+    /// about to be sent to it.
     pub(crate) fn endpoint_in_service(&self, replica: ReplicaId) {
         self.draining.borrow_mut().remove(&replica);
     }
 
-    /// A part's first byte was written.
+    /// Checks a part whose first byte was just written.
     pub(crate) fn part_started(&self, part: PartStart) {
-        if !self.open.borrow().contains(&part.query) {
+        if !self.open_queries.borrow().contains(&part.query) {
             self.report_violation(Violation::SentAfterEnd, part.query);
         }
         if self.draining.borrow().contains(&part.replica) {
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Counts, records and logs the violation of an invariant.
+    /// Counts, records and logs a violation.
     pub(crate) fn report_violation(&self, violation: Violation, query: QueryKey) {
         self.counter(violation).increment();
         self.recorder.raise_alarm(violation as u8, Record::for_query(EventKind::InvariantViolated, query));
@@ -140,8 +144,8 @@
     }
 }
 
-/// A request that was read and needs its final answer. Dropped without [`PendingReply::settle`], it is a violation of
-/// [`Violation::ClosedUnanswered`].
+/// Guard for a request that was read and has to be answered. Reports [`Violation::ClosedUnanswered`] if it is
+/// dropped without a call of [`PendingReply::settle`].
 pub(crate) struct PendingReply {
     invariants: Rc<Invariants>,
     query: QueryKey,
@@ -149,12 +153,14 @@
 }
 
 impl PendingReply {
-    /// A request with this key, pending from now on.
+    /// Creates the guard for a request. `query` is its key in the flight recorder, 0 if the request is not a
+    /// query.
     pub(crate) fn new(invariants: Rc<Invariants>, query: QueryKey) -> PendingReply {
         PendingReply { invariants, query, settled: false }
     }
 
-    /// Its answer was written completely, or its client has disconnected or takes no more bytes.
+    /// Ends the guard without a violation. To be called once the answer was completely written, or if the
+    /// client has disconnected or accepts no more bytes.
     pub(crate) fn settle(mut self) {
         self.settled = true;
     }
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -1,4 +1,5 @@
-//! Messages of the tasks (connections, discovery, shutdown) to the event loop that owns the host.
+//! Messages that the tasks for connections, discovery and the shutdown send to the event loop, which owns the
+//! [`Host`](crate::host::Host).
 
 use crate::host::{AdmitError, QueryRequest, Reply};
 use pinetrestle::interface::ReplicaId;
@@ -7,42 +8,43 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// One message to the event loop.
+/// A message to the event loop.
 pub(crate) enum Message {
-    /// A client sent a query; the answer, or why it was not admitted, goes to `reply`.
+    /// A client has sent a query.
     Query {
-        /// The query's number among those of all client connections.
+        /// Number of the query, unique among the queries of all client connections.
         token: u64,
         /// The query.
         request: Box<QueryRequest>,
-        /// Where its answer goes.
+        /// Receives the final answer, or the reason for which the query was not admitted.
         reply: oneshot::Sender<Result<Reply, AdmitError>>,
     },
-    /// The client of the query with this number has disconnected.
+    /// The client of a query has disconnected.
     ClientDisconnected {
-        /// The query's number among those of all client connections.
+        /// Number of the query, as in [`Message::Query`].
         token: u64,
     },
     /// An index server has answered an attempt.
     AttemptAnswered(AttemptAnswer),
-    /// Attempts were taken back before any byte of them was written.
+    /// Attempts were withdrawn before the write of their call started.
     AttemptsUnsent(Vec<AttemptId>),
     /// A connection to an index server has closed.
     ConnectionClosed {
-        /// The index server's replica.
+        /// Replica number of the index server.
         replica: ReplicaId,
-        /// The connection's number.
+        /// Number of the connection.
         connection: u64,
-        /// This machine could not open it (no descriptors, no ports), whatever the server does.
+        /// Whether the connection could not be opened for a reason local to this machine (no free file
+        /// descriptors or ports), so that it says nothing about the index server.
         local_fault: bool,
     },
-    /// Discovery sent an endpoint list or a change to it.
+    /// Discovery has sent an endpoint list or changes to it.
     EndpointUpdate(ListUpdate),
-    /// The watch of discovery has failed or was lost.
+    /// Polling the endpoint list failed, or the watch on it was lost.
     WatchFailed,
-    /// The front node stops; open queries have to end by the deadline.
+    /// The front node is shutting down gracefully.
     Shutdown {
-        /// When the last answer has to be decided.
+        /// Instant by which the final answers of all queries have to be decided.
         deadline: Instant,
     },
 }
