--- a/crates/node/tests/host/attempts.rs
+++ b/crates/node/tests/host/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: what is sent for them, how they end, timeouts and withdrawal.
+//! Attempts: contents of the parts sent, outcomes, timeouts and withdrawal.
 
 use crate::common::{config_with, ALL};
 use crate::harness::{Harness, MS};
@@ -8,13 +8,13 @@
 use serde_json::json;
 
 #[test]
-fn each_part_carries_its_id_its_text_and_the_time_left() {
+fn each_part_carries_its_id_the_query_text_and_a_deadline() {
     let mut harness = Harness::new();
     harness.submit(ALL, &[0, 1]).expect("admitted");
     for sent in harness.in_flight.values() {
         let remaining = harness.remaining_ms(&sent.part);
         assert!((100..=2000).contains(&remaining), "{remaining}");
-        // The option of the time left is added when the call is written (protocol/link).
+        // The time left is not among the attributes: the connection adds it when it encodes the call frame.
         assert_eq!(sent.part.attributes, "");
         assert_eq!(&*sent.part.text, "text");
         assert_eq!(sent.part.id, format!("q1.{}", sent.part.shard));
@@ -39,16 +39,16 @@
     harness.run_batches();
     assert_eq!(harness.counters.attempts.connect_failed.get(), 1);
     assert_eq!((harness.counters.attempts.reset.get(), harness.counters.attempts.ok.get()), (0, 0));
-    assert!(harness.replies.is_empty(), "a late answer is no answer");
+    assert!(harness.replies.is_empty(), "a late answer must be dropped");
     let retries = harness.attempt_ids();
-    assert_eq!(retries.len(), 1, "a part that never ran is retried");
+    assert_eq!(retries.len(), 1, "a part that did not run must be retried");
     harness.answer(retries[0], PartOutcome::Served, 0, "v");
     assert_eq!(harness.replies.len(), 1);
     harness.assert_balanced();
 }
 
 #[test]
-fn where_cancelling_is_not_permitted_an_attempt_times_out_and_its_part_is_retried_elsewhere() {
+fn without_cancellation_an_attempt_times_out_and_its_part_is_retried_at_another_replica() {
     let mut harness = Harness::with_config(&config_with(|settings| {
         settings["permissions"]["cancel"] = json!(false);
         settings["permissions"]["may_duplicate"] = json!(false);
@@ -56,12 +56,12 @@
     harness.submit(ALL, &[0]).expect("admitted");
     let (first, sent) = harness.in_flight.pop_first().expect("one part is in flight");
     let remaining = harness.remaining_ms(&sent.part);
-    assert!(remaining < 1900, "the timeout comes before the client's deadline: {remaining} ms");
+    assert!(remaining < 1900, "the timeout must come before the client's deadline: {remaining} ms");
     harness.advance((remaining - 1) * MS);
     assert_eq!(harness.counters.attempts.timeout.get(), 0);
     harness.advance(MS);
     assert_eq!(harness.counters.attempts.timeout.get(), 1);
-    let (second, retried) = harness.in_flight.iter().next().expect("it is retried");
+    let (second, retried) = harness.in_flight.iter().next().expect("a retry is in flight");
     assert!(*second != first && retried.replica != sent.replica);
     let second = *second;
     harness.host.connection_lost(harness.now(), first, true);
@@ -71,17 +71,18 @@
 }
 
 #[test]
-fn attempts_of_a_disconnected_client_are_withdrawn_before_any_other_task_runs() {
+fn attempts_of_a_disconnected_client_are_withdrawn_without_a_batch() {
     let mut harness = Harness::new();
     let query = harness.submit(ALL, &[0, 1, 2]).expect("admitted");
     let attempt_ids = harness.attempt_ids();
     assert_eq!(attempt_ids.len(), 3);
     harness.host.client_disconnected(query);
-    // No batch in between: other tasks may write what is queued before the next one.
+    // The commands are taken without processing a batch: other tasks may run before the next batch, and would
+    // write the queued attempts.
     let commands = harness.host.take_commands();
     let is_withdrawn = |attempt_id: &&u64| commands.contains(&Command::Withdraw(**attempt_id));
     assert_eq!(attempt_ids.iter().filter(is_withdrawn).count(), 3, "{commands:?}");
-    // What had been written by then is cancelled by the decision that follows.
+    // Attempts whose write has started are cancelled by the decision core in the next batch.
     harness.run_batches();
     assert!(harness.attempt_ids().is_empty());
 }
--- a/crates/node/tests/host/endpoints.rs
+++ b/crates/node/tests/host/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: updates, removals, returning servers and a lost watch.
+//! Endpoint list: updates, removals, returning index servers and a lost watch.
 
 use crate::common::ALL;
 use crate::harness::{entry, Harness, MS};
@@ -6,7 +6,7 @@
 use pinetrestle_protocol::endpoint_list::{EndpointEntry, Status};
 
 #[test]
-fn an_update_changes_an_endpoint_and_a_complete_list_removes_those_it_lacks() {
+fn an_update_changes_an_endpoint_and_a_complete_list_removes_unlisted_ones() {
     let mut harness = Harness::new();
     let entry = |name: &str, address: &str, status, start_time_ms| EndpointEntry {
         name: name.into(),
@@ -21,20 +21,20 @@
     assert_eq!(endpoint.address, "127.0.0.1:9999");
     assert_eq!(endpoint.started_unix_ms, 77);
     assert_eq!(endpoint.name, "s0");
-    // A removal names no address: the last one stays, for attempts in flight.
+    // The entry of a removed server may have no address; the last one is kept for attempts in flight.
     harness.update_endpoints(false, vec![entry("s3", "", Status::Removed, 0)]);
     assert_eq!(harness.host.endpoint(3).expect("s3").address, "127.0.0.1:7003");
     assert!(harness.host.can_serve());
     harness.update_endpoints(true, vec![entry("s0", "127.0.0.1:9999", Status::Draining, 77)]);
-    assert!(!harness.host.can_serve(), "the only one left is draining");
+    assert!(!harness.host.can_serve(), "the only listed server is draining");
 }
 
 #[test]
-fn a_lost_watch_is_opened_again() {
+fn a_lost_watch_is_reopened() {
     let mut harness = Harness::new();
     harness.advance(1000 * MS);
     let before = harness.watches;
-    assert!(before >= 1, "a watch is open from the start on");
+    assert!(before >= 1, "a watch is requested at the start");
     harness.host.endpoint_watch_failed();
     harness.run_batches();
     harness.advance(2000 * MS);
@@ -42,18 +42,18 @@
 }
 
 #[test]
-fn a_server_that_returns_under_its_name_keeps_its_number_and_an_unknown_one_may_be_removed() {
+fn a_returning_server_keeps_its_replica_number_and_removing_an_unknown_server_is_ignored() {
     let mut harness = Harness::new();
-    let replica_of_a_new_attempt = |harness: &mut Harness| -> ReplicaId {
+    let replica_of_new_attempt = |harness: &mut Harness| -> ReplicaId {
         harness.submit(ALL, &[0]).expect("admitted");
-        let (_, sent) = harness.in_flight.pop_last().expect("it is in flight");
+        let (_, sent) = harness.in_flight.pop_last().expect("an attempt is in flight");
         sent.replica
     };
-    let only = |status| vec![EndpointEntry { cell: 0, ..entry(0, status) }];
-    harness.update_endpoints(true, only(Status::Up));
-    let first = replica_of_a_new_attempt(&mut harness);
+    let server_0 = |status| vec![EndpointEntry { cell: 0, ..entry(0, status) }];
+    harness.update_endpoints(true, server_0(Status::Up));
+    let first = replica_of_new_attempt(&mut harness);
     harness.update_endpoints(false, vec![entry(0, Status::Removed), entry(77, Status::Removed)]);
     assert!(harness.host.endpoint_in_service(first).is_none());
-    harness.update_endpoints(false, only(Status::Up));
-    assert_eq!(replica_of_a_new_attempt(&mut harness), first);
+    harness.update_endpoints(false, server_0(Status::Up));
+    assert_eq!(replica_of_new_attempt(&mut harness), first);
 }
--- a/crates/node/tests/host/harness.rs
+++ b/crates/node/tests/host/harness.rs
@@ -1,4 +1,4 @@
-//! A host, the clock that the test moves, and what the host's commands have brought about.
+//! Test harness: a host with a simulated clock, which records the effects of the host's commands.
 
 use crate::common::config;
 use pinetrestle::interface::{Id, Micros, ReplicaId};
@@ -12,16 +12,16 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 pub const MS: i64 = 1000;
 
-/// A part that was sent and has not ended.
+/// A part that was sent to a replica and has not ended.
 pub struct InFlightPart {
     pub replica: ReplicaId,
     pub part: OutgoingPart,
 }
 
-/// A query's final answer.
+/// The final answer to a query.
 pub struct FinalReply {
     pub query: Id,
     pub reply: Reply,
@@ -30,15 +30,16 @@
 pub struct Harness {
     pub host: Host,
     pub counters: Rc<Counters>,
-    /// The clock in microseconds.
+    /// Time of the simulated clock in microseconds.
     pub now: i64,
     pub in_flight: BTreeMap<AttemptId, InFlightPart>,
     pub replies: Vec<FinalReply>,
-    /// Watches of the endpoint list that the host has ordered.
+    /// Number of commands to watch the endpoint list.
     pub watches: usize,
-    /// Queries submitted so far; the wire id of each is `q` and its number from 1.
+    /// Number of queries submitted so far. The wire id of a query is `q` followed by this number, so the
+    /// first is `q1`.
     pub submitted: u64,
-    /// The version of the latest endpoint list.
+    /// Version of the latest endpoint list.
     list_version: u64,
 }
 
@@ -65,16 +66,16 @@
         harness
     }
 
-    /// The clock as the host takes it.
+    /// Returns the time of the simulated clock, to be passed to the host.
     pub fn now(&self) -> Micros {
         Micros(self.now)
     }
 
-    /// Runs batches until no event is left, and carries out the host's commands.
+    /// Processes batches until no events are pending, and executes the host's commands.
     pub fn run_batches(&mut self) {
         loop {
             for command in self.host.process_batch(self.now()) {
-                self.carry_out(command);
+                self.execute(command);
             }
             if !self.host.has_pending_events() {
                 return;
@@ -82,10 +83,10 @@
         }
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Send { replica, parts } => {
-                assert!(!parts.is_empty() && parts.len() <= 4, "a call holds at most a batch");
+                assert!(!parts.is_empty() && parts.len() <= 4, "a call has between 1 and max_batch parts");
                 for part in parts {
                     let earlier = self.in_flight.insert(part.attempt_id, InFlightPart { replica, part });
                     assert!(earlier.is_none());
@@ -96,20 +97,25 @@
             }
             Command::Reply(query, reply) => self.replies.push(FinalReply { query, reply }),
             Command::WatchEndpoints => self.watches += 1,
-            Command::ReportOrphanedAttempts(attempts) => panic!("{attempts} attempts outlive their queries"),
-            Command::ReportForbiddenRetry(query) => panic!("a forbidden retry of a part of {query}"),
+            Command::ReportOrphanedAttempts(attempts) => {
+                panic!("{attempts} attempts of ended queries are in flight")
+            }
+            Command::ReportForbiddenRetry(query) => {
+                panic!("the core ordered a forbidden retry for query {query}")
+            }
             Command::Log(_) | Command::DrainEndpoint(_) | Command::Withdraw(_) => {}
         }
     }
 
-    /// The time left for a part in milliseconds, as its index server would be given it now.
+    /// Returns the time left for a part in milliseconds, as a call frame written now would contain it.
     pub fn remaining_ms(&self, part: &OutgoingPart) -> i64 {
         (part.deadline_us as i64 - self.now + MS - 1) / MS
     }
 
-    /// Moves the clock by so many microseconds and stops at each timer.
-    pub fn advance(&mut self, span: i64) {
-        let end = self.now + span;
+    /// Advances the clock by `duration` microseconds. Processes batches at the time of each timer and at the
+    /// end.
+    pub fn advance(&mut self, duration: i64) {
+        let end = self.now + duration;
         while let Some(due) = self.host.next_timer().map(|at| at.0).filter(|at| *at <= end) {
             self.now = self.now.max(due);
             self.run_batches();
@@ -118,14 +124,14 @@
         self.run_batches();
     }
 
-    /// Submits a query with a part at each of these shards.
+    /// Submits a query with one part for each of the shards, and processes it.
     pub fn submit(&mut self, class: usize, shards: &[u32]) -> Result<Id, AdmitError> {
         let id = self.submit_without_batch(class, shards);
         self.run_batches();
         id
     }
 
-    /// Submits a query that the decision core does not process yet.
+    /// Submits a query without processing a batch, so the decision core has not received it yet.
     pub fn submit_without_batch(&mut self, class: usize, shards: &[u32]) -> Result<Id, AdmitError> {
         self.submitted += 1;
         let weight = 1.0 / shards.len() as f64;
@@ -144,7 +150,7 @@
         self.host.admit(self.now(), request)
     }
 
-    /// Has an index server answer an attempt.
+    /// Passes the answer of an index server to the host.
     pub fn answer(&mut self, attempt_id: AttemptId, outcome: PartOutcome, score: i128, value: &str) {
         self.in_flight.remove(&attempt_id);
         let answer = AttemptAnswer { attempt_id, outcome, score: Score(score, 0.0), value: value.into() };
@@ -152,7 +158,8 @@
         self.run_batches();
     }
 
-    /// Gives the host the next version of the endpoint list, complete or with changes only.
+    /// Passes the next version of the endpoint list to the host. `complete` states whether the entries are
+    /// the whole list or only the changed ones.
     pub fn update_endpoints(&mut self, complete: bool, entries: Vec<EndpointEntry>) {
         self.list_version += 1;
         let update = ListUpdate { version: self.list_version, complete, entries };
@@ -164,17 +171,17 @@
         self.in_flight.keys().copied().collect()
     }
 
-    /// The body of the reply at this place, and whether it is complete.
-    pub fn served(&self, place: usize) -> (serde_json::Value, bool) {
-        match &self.replies[place].reply {
+    /// Returns the body of a served reply, and whether it is complete. `index` counts the replies from 0.
+    pub fn served(&self, index: usize) -> (serde_json::Value, bool) {
+        match &self.replies[index].reply {
             Reply::Served { body, complete } => (serde_json::from_slice(body).expect("JSON"), *complete),
             other => panic!("not served: {other:?}"),
         }
     }
 
-    /// The values of the items of the reply at this place, sorted.
-    pub fn served_values(&self, place: usize) -> Vec<String> {
-        let (body, _) = self.served(place);
+    /// Returns the sorted values of the items in a served reply. `index` counts the replies from 0.
+    pub fn served_values(&self, index: usize) -> Vec<String> {
+        let (body, _) = self.served(index);
         let items = body["items"].as_array().expect("items");
         let mut values: Vec<String> =
             items.iter().filter_map(|item| item["body"].as_str()).map(str::to_owned).collect();
@@ -182,14 +189,15 @@
         values
     }
 
-    /// Asserts that nothing is open: neither a query nor an attempt, at the host or at the index servers.
+    /// Asserts that no query is open and that no attempt is in flight, in the host and at the index servers.
     #[track_caller]
     pub fn assert_idle(&self) {
         let open = (self.host.open_queries(), self.host.attempts_in_flight(), self.in_flight.len());
         assert_eq!(open, (0, 0, 0));
     }
 
-    /// Asserts that the counters add up: what has begun has ended once or is open.
+    /// Asserts that the counters add up: each attempt sent is counted under one outcome or is in flight, and
+    /// each query admitted is counted under one result or is open.
     #[track_caller]
     pub fn assert_balanced(&self) {
         let attempts = &self.counters.attempts;
@@ -223,7 +231,7 @@
     }
 }
 
-/// An entry of the endpoint list: server `g` and `number`, of the cell `number` modulo 3.
+/// Creates an endpoint list entry for the index server `g<number>`, in the cell `number % 3`.
 pub fn entry(number: u64, status: Status) -> EndpointEntry {
     EndpointEntry {
         name: format!("g{number}"),
--- a/crates/node/tests/host/long_runs.rs
+++ b/crates/node/tests/host/long_runs.rs
@@ -1,4 +1,5 @@
-//! Long runs: random inputs keep the counters balanced, and tables do not grow with time.
+//! Long simulated runs: the counters stay consistent under random inputs, and the tables do not grow with
+//! time.
 
 use crate::common::ALL;
 use crate::harness::{entry, Harness, MS};
@@ -8,19 +9,19 @@
 use pinetrestle_protocol::frames::PartOutcome;
 use std::collections::BTreeMap;
 
-/// A linear congruential generator, so that each seed gives the same run.
+/// A linear congruential generator, which makes the run of each seed reproducible.
 struct Random(u64);
 
 impl Random {
-    /// A number below `limit`.
+    /// Returns a number in `0..limit`.
     fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % limit
     }
 }
 
-/// Ends a random attempt in a random way.
-fn end_any_attempt(harness: &mut Harness, random: &mut Random) {
+/// Ends a randomly chosen attempt with a random outcome. Does nothing if no attempt is in flight.
+fn end_random_attempt(harness: &mut Harness, random: &mut Random) {
     let attempt_ids = harness.attempt_ids();
     if attempt_ids.is_empty() {
         return;
@@ -65,19 +66,23 @@
                     harness.run_batches();
                     disconnected += before - harness.host.open_queries();
                 }
-                3..=7 => end_any_attempt(&mut harness, &mut random),
+                3..=7 => end_random_attempt(&mut harness, &mut random),
                 _ => harness.advance(random.below(60) as i64 * MS),
             }
             harness.assert_balanced();
         }
         harness.advance(10_000 * MS);
         harness.assert_idle();
-        let mut answered: Vec<Id> = harness.replies.iter().map(|reply| reply.query).collect();
-        answered.sort_unstable();
-        let count = answered.len();
-        answered.dedup();
-        assert_eq!(answered.len(), count, "seed {seed}: a query was answered twice");
-        assert_eq!(count + disconnected, admitted.len(), "seed {seed}");
+        let mut answered_queries: Vec<Id> = harness.replies.iter().map(|reply| reply.query).collect();
+        answered_queries.sort_unstable();
+        let count = answered_queries.len();
+        answered_queries.dedup();
+        assert_eq!(answered_queries.len(), count, "seed {seed}: a query was answered twice");
+        assert_eq!(
+            count + disconnected,
+            admitted.len(),
+            "seed {seed}: answered and disconnected do not add up to admitted"
+        );
         harness.assert_balanced();
     }
 }
@@ -87,11 +92,12 @@
     const ROUNDS: u64 = 5000;
     let mut harness = Harness::new();
     harness.update_endpoints(true, (0..6).map(|number| entry(number, Status::Up)).collect());
-    // The largest size of each table in the first half of the rounds, and in the second.
+    // Maximum size of each table in the first and in the second half of the rounds.
     let mut first_half: BTreeMap<&str, usize> = BTreeMap::new();
     let mut second_half: BTreeMap<&str, usize> = BTreeMap::new();
     for round in 0..ROUNDS {
-        // One server comes, one drains, one leaves; now and then the list is complete.
+        // In each round one server is added, one drains and is then removed. In every seventh round the
+        // removal is by a complete list without the server.
         let (oldest, newest) = (round, round + 6);
         harness.update_endpoints(false, vec![entry(newest, Status::Up), entry(oldest, Status::Draining)]);
         harness.submit(ALL, &[0, 1, 2]).expect("admitted");
@@ -107,15 +113,18 @@
         harness.advance(100 * MS);
         let half = if round < ROUNDS / 2 { &mut first_half } else { &mut second_half };
         for TableSize { table, entries } in harness.host.table_sizes() {
-            let largest = half.entry(table).or_default();
-            *largest = entries.max(*largest);
+            let max_entries = half.entry(table).or_default();
+            *max_entries = entries.max(*max_entries);
         }
     }
     harness.assert_balanced();
     assert!(!first_half.is_empty());
     for (table, first) in first_half {
         let second = second_half[table];
-        assert!(second <= first.max(40), "{table}: {first} in the first half, {second} in the second");
-        assert!(second < 400, "{table}: {second}");
+        assert!(
+            second <= first.max(40),
+            "{table}: at most {first} entries in the first half, {second} in the second"
+        );
+        assert!(second < 400, "{table}: {second} entries");
     }
 }
--- a/crates/node/tests/host/main.rs
+++ b/crates/node/tests/host/main.rs
@@ -1,4 +1,4 @@
-//! The host driven by events alone: no sockets, and a clock of the test's own.
+//! Tests of the host through its public functions, without sockets and with a simulated clock.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/node/tests/host/queries.rs
+++ b/crates/node/tests/host/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: answers, the second step, ids, capacity, deadlines and the graceful shutdown.
+//! Queries: answers, the second step, wire ids, capacity, deadlines and the graceful shutdown.
 
 use crate::common::{ALL, ANY, STEPS};
 use crate::harness::{Harness, MS};
@@ -8,27 +8,27 @@
 use pinetrestle_protocol::frames::PartOutcome;
 
 #[test]
-fn any_two_of_three_parts_answer_a_query_and_the_rest_is_abandoned() {
+fn a_query_that_needs_two_of_three_parts_ends_after_two_and_leaves_no_attempt_in_flight() {
     let mut harness = Harness::new();
     let id = harness.submit(ANY, &[0, 1, 2]).expect("admitted");
     let attempt_ids = harness.attempt_ids();
-    assert!(attempt_ids.len() >= 2, "two parts are needed: {attempt_ids:?}");
+    assert!(attempt_ids.len() >= 2, "at least two parts must be sent: {attempt_ids:?}");
     harness.advance(30 * MS);
     harness.answer(attempt_ids[0], PartOutcome::Served, 7, "a\"b");
-    assert!(harness.replies.is_empty(), "one part is not enough");
+    assert!(harness.replies.is_empty(), "one answered part is not enough");
     harness.answer(attempt_ids[1], PartOutcome::Served, 8, "c");
     assert_eq!(harness.replies.len(), 1);
     assert_eq!(harness.replies[0].query, id);
     let (body, complete) = harness.served(0);
     assert!(complete && body["entire"] == true);
     assert_eq!(body["items"].as_array().expect("items").len(), 2);
-    assert_eq!(harness.served_values(0), ["a\"b", "c"], "as the index servers gave them");
+    assert_eq!(harness.served_values(0), ["a\"b", "c"], "the values of the answered parts, unchanged");
     harness.assert_idle();
     harness.assert_balanced();
 }
 
 #[test]
-fn the_second_step_goes_to_the_highest_scores_and_gives_the_answer() {
+fn the_second_step_queries_the_highest_scoring_shards_and_gives_the_final_answer() {
     let mut harness = Harness::new();
     harness.submit(STEPS, &[0, 1, 2]).expect("admitted");
     let first: Vec<(AttemptId, u32)> =
@@ -40,7 +40,7 @@
         let score = [5, 1_000_000_000_000_000_000_001, 1_000_000_000_000_000_000_000][shard as usize];
         harness.answer(attempt_id, PartOutcome::Served, score, &format!("first {shard}"));
     }
-    assert!(harness.replies.is_empty(), "the first step's answer does not end the query");
+    assert!(harness.replies.is_empty(), "the first step must not end the query");
     let second: Vec<(AttemptId, OutgoingPart)> =
         harness.in_flight.iter().map(|(attempt_id, sent)| (*attempt_id, sent.part.clone())).collect();
     let mut part_ids: Vec<&str> = second.iter().map(|(_, part)| part.id.as_str()).collect();
@@ -55,7 +55,7 @@
     }
     let (_, complete) = harness.served(0);
     assert!(complete);
-    assert_eq!(harness.served_values(0), ["second 1", "second 2"], "the second step's values only");
+    assert_eq!(harness.served_values(0), ["second 1", "second 2"], "only the values of the second step");
     assert_eq!(harness.counters.classes[STEPS].queries.second_steps.get(), 1);
     harness.assert_balanced();
 }
@@ -80,8 +80,12 @@
     let mut harness = Harness::new();
     harness.submit(ALL, &[0, 1]).expect("admitted");
     harness.advance(2000 * MS);
-    assert_eq!(harness.replies.len(), 1, "a reply before the client's time is up");
-    assert_eq!(harness.counters.classes[ALL].queries.overdue.get(), 0, "and by the decision core itself");
+    assert_eq!(harness.replies.len(), 1, "the query must get its reply before the client's deadline");
+    assert_eq!(
+        harness.counters.classes[ALL].queries.overdue.get(),
+        0,
+        "the decision core must end the query, not the host's deadline timer"
+    );
     harness.assert_balanced();
 }
 
@@ -96,7 +100,7 @@
         }
     };
     assert_eq!(error, AdmitError::OverCapacity { retry_after: Some(500_000) });
-    assert_eq!(admitted, 12, "five for each query fill sixty");
+    assert_eq!(admitted, 12, "each query counts as 1 plus its 4 parts, and the maximum is 60");
     assert_eq!(harness.counters.classes[ALL].queries.over_capacity.get(), 1);
     harness.submitted = 0;
     assert_eq!(harness.submit_without_batch(ALL, &[0]), Err(AdmitError::DuplicateId));
@@ -112,7 +116,11 @@
     harness.host.set_shutdown_deadline(Micros(harness.now + 300 * MS));
     harness.submit(ALL, &[1]).expect("still admitted");
     harness.advance(299 * MS);
-    assert_eq!(harness.replies.len(), 1, "the decision core ended the query with the shortened time");
+    assert_eq!(
+        harness.replies.len(),
+        1,
+        "the decision core must end the query with the shortened time before its deadline"
+    );
     harness.advance(MS);
     assert_eq!(harness.replies.len(), 2);
     assert_eq!(harness.counters.classes[ALL].queries.overdue.get(), 1);
@@ -121,7 +129,7 @@
 }
 
 #[test]
-fn a_wire_id_stays_in_use_for_a_while_after_its_query_was_answered() {
+fn a_wire_id_can_be_used_again_only_some_time_after_its_query_was_answered() {
     let mut harness = Harness::new();
     harness.submit(ALL, &[0]).expect("admitted");
     let attempt_id = harness.attempt_ids()[0];
@@ -129,8 +137,8 @@
     assert_eq!(harness.replies.len(), 1);
     harness.submitted -= 1;
     assert_eq!(harness.submit(ALL, &[0]), Err(AdmitError::DuplicateId));
-    assert!(harness.in_flight.is_empty(), "nothing is sent for it");
-    // Several deadlines later the id is free again.
+    assert!(harness.in_flight.is_empty(), "no part of a rejected query may be sent");
+    // After several times the longest deadline the id can be used again.
     harness.advance(10_000 * MS);
     harness.submitted -= 1;
     assert!(harness.submit(ALL, &[0]).is_ok());
--- a/crates/node/tests/inside/pause_detector.rs
+++ b/crates/node/tests/inside/pause_detector.rs
@@ -1,4 +1,4 @@
-//! Pauses as the detector sees them, with the clock set by the test.
+//! Detection of pauses, with times set by the test.
 
 use super::PauseDetector;
 use std::time::Duration;
@@ -16,12 +16,16 @@
         detector.tick(after(start, tick * 11));
     }
     let now = after(start, 60);
-    assert_eq!(detector.earliest_arrival_at(now), now, "no pause so far");
-    // Nothing ran from 55 ms on; it goes on at 300 ms, and the reader may run before the tick or after it.
+    assert_eq!(detector.earliest_arrival_at(now), now, "no pause has been detected yet");
+    // The process is paused from 55 ms to 300 ms. The reader may run before the next tick or after it.
     assert_eq!(detector.earliest_arrival_at(after(start, 300)), after(start, 55));
     detector.tick(after(start, 300));
     assert_eq!(detector.earliest_arrival_at(after(start, 303)), after(start, 55));
     detector.tick(after(start, 311));
     let later = after(start, 312);
-    assert_eq!(detector.earliest_arrival_at(later), later, "what was waiting has been read by then");
+    assert_eq!(
+        detector.earliest_arrival_at(later),
+        later,
+        "bytes that arrived during the pause have been read by then"
+    );
 }
--- a/crates/node/tests/inside/receive_times.rs
+++ b/crates/node/tests/inside/receive_times.rs
@@ -1,4 +1,4 @@
-//! When bytes arrived: each by its own read, never later than it was.
+//! Arrival times of bytes: each byte has the time of its read or an earlier one, never a later one.
 
 use super::{ReceiveTimes, MAX_READS};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn each_byte_is_dated_by_its_own_read() {
+fn each_byte_has_the_time_of_its_own_read() {
     let start = Instant::now();
     let mut times = ReceiveTimes::default();
     assert_eq!(times.received_by(1), None);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn bytes_that_waited_unread_are_dated_when_reading_was_suspended() {
+fn bytes_that_waited_unread_have_the_time_at_which_reading_was_suspended() {
     let start = Instant::now();
     let mut times = ReceiveTimes::default();
     times.suspend_reading(start);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn more_reads_than_the_bound_are_dated_early_and_take_no_more_memory() {
+fn reads_beyond_the_limit_have_earlier_times_and_take_no_more_memory() {
     let start = Instant::now();
     let mut times = ReceiveTimes::default();
     for read in 1..=1000_u64 {
