--- a/crates/node/src/host/query_table.rs
+++ b/crates/node/src/host/query_table.rs
@@ -9,9 +9,9 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Delay between the send of the first part of a second step and that of the other parts. The first part ends
-/// the first step at the index servers, and parts that they read at the same moment are answered with an
-/// error.
+/// Minimum delay between the send of the first part of a second step and that of the other parts. The first
+/// part ends the first step at the index servers, and parts that they read at the same moment are answered
+/// with an error.
 const SECOND_STEP_DELAY: Micros = Micros(1_000);
 
 /// The current step of a query, or the step that a part belongs to.
