--- a/crates/node/src/host/actions.rs
+++ b/crates/node/src/host/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the actions of the decision core: attempts, cancellations, answers and timers.
+//! Execution of the decision core's actions: attempts, cancellations, answers, timers and log lines.
 
 use super::attempts::InFlightAttempt;
 use super::clock_micros;
@@ -12,32 +12,32 @@
 use pinetrestle_recorder::query_key;
 use std::collections::HashMap;
 
-/// An attempt as the decision core orders it ([`Action::Attempt`]).
+/// The fields of an [`Action::Attempt`].
 #[derive(Clone, Copy, Debug)]
-struct AttemptOrder {
+struct AttemptRequest {
     part: Id,
     replica: ReplicaId,
-    /// Its timeout; 0 for all the time that its query has left.
+    /// Timeout of the attempt; 0 stands for the time until the deadline of the query.
     timeout: Micros,
-    /// Send within this time or not at all.
+    /// If set, the attempt must be dropped unless it can be sent within this time.
     send_within: Option<Micros>,
 }
 
-/// An attempt that was counted at its part, and what is to be sent for it.
+/// A new attempt of a part of an open query.
 struct PreparedAttempt {
-    /// Its number among the attempts of its part, from 0.
+    /// Number of the attempt among those of its part, from 0.
     number: u32,
-    /// Its timeout, no longer than the time that its query has left.
+    /// Timeout of the attempt, which does not exceed the time until the deadline of the query.
     timeout: Micros,
-    /// The part to send; none if the attempt may not be sent.
+    /// The part to send; `None` if the attempt must not be sent.
     outgoing: Option<OutgoingPart>,
 }
 
-/// For each replica the place, among the commands, of the call that its next part joins.
+/// For each replica, the index in `Host::commands` of the call to which further parts are added.
 type OpenCalls = HashMap<ReplicaId, usize>;
 
 impl Host {
-    /// Executes the actions of one batch in order.
+    /// Executes the actions that resulted from one batch, in order.
     pub(super) fn execute_actions(&mut self, now: Micros, actions: Vec<Action>) {
         let mut open_calls = OpenCalls::new();
         for action in actions {
@@ -48,8 +48,8 @@
     fn execute_action(&mut self, now: Micros, action: Action, open_calls: &mut OpenCalls) {
         match action {
             Action::Attempt { part, replica, timeout, send_within } => {
-                let order = AttemptOrder { part, replica, timeout, send_within };
-                if let Some(outgoing) = self.start_attempt(now, order) {
+                let request = AttemptRequest { part, replica, timeout, send_within };
+                if let Some(outgoing) = self.start_attempt(now, request) {
                     self.add_to_call(replica, outgoing, open_calls);
                 }
             }
@@ -59,7 +59,7 @@
                     self.commands.push(Command::Abandon(attempt_id));
                 }
             }
-            Action::Answer { query, complete } => self.answer_query(query, complete),
+            Action::Answer { query, complete } => self.finish_step(query, complete),
             Action::Reject { query, retry_after } => {
                 let retry_after = retry_after.map(|wait| wait.0);
                 let reply = Reply::Rejected { retry_after };
@@ -76,12 +76,14 @@
         }
     }
 
-    /// Parts of one batch that go to one replica share a call, up to the deployment's limit of parts in a call.
+    /// Adds a part to the open call to a replica, or starts a new call if there is none or it is full. The
+    /// parts that a batch sends to one replica thus share calls, up to the deployment's maximum number of
+    /// parts in a call.
     fn add_to_call(&mut self, replica: ReplicaId, outgoing: OutgoingPart, open_calls: &mut OpenCalls) {
-        let max_batch = self.deployment.settings.limits.max_batch.max(1) as usize;
-        let open_call = open_calls.get(&replica).and_then(|place| self.commands.get_mut(*place));
+        let max_parts = self.deployment.settings.limits.max_batch.max(1) as usize;
+        let open_call = open_calls.get(&replica).and_then(|index| self.commands.get_mut(*index));
         match open_call {
-            Some(Command::Send { parts, .. }) if parts.len() < max_batch => parts.push(outgoing),
+            Some(Command::Send { parts, .. }) if parts.len() < max_parts => parts.push(outgoing),
             _ => {
                 open_calls.insert(replica, self.commands.len());
                 self.commands.push(Command::Send { replica, parts: vec![outgoing] });
@@ -89,20 +91,21 @@
         }
     }
 
-    /// Enters an attempt and returns what is to be sent for it. One that may not be sent ends at once: the decision
-    /// core learns of that with the next batch.
-    fn start_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<OutgoingPart> {
+    /// Adds an attempt to the table of attempts in flight and returns the part to send. An attempt that must
+    /// not be sent ends immediately, which is reported to the decision core in the next batch, and `None` is
+    /// returned.
+    fn start_attempt(&mut self, now: Micros, request: AttemptRequest) -> Option<OutgoingPart> {
         self.counters.attempts.sent.increment();
         self.counters.attempts.in_flight.increment();
-        let prepared = self.prepare_attempt(now, order);
+        let prepared = self.prepare_attempt(now, request);
         let attempt_id = self.attempts.insert(InFlightAttempt {
-            part: order.part,
+            part: request.part,
             number: prepared.as_ref().map_or(0, |prepared| prepared.number),
-            replica: order.replica,
+            replica: request.replica,
             sent_at: now,
             timer: None,
         });
-        self.endpoints.attempt_started(order.replica);
+        self.endpoints.attempt_started(request.replica);
         let Some(PreparedAttempt { timeout, outgoing: Some(outgoing), .. }) = prepared else {
             self.end_attempt(now, attempt_id, Outcome::NotSent);
             return None;
@@ -116,36 +119,37 @@
         Some(OutgoingPart { attempt_id, ..outgoing })
     }
 
-    /// Counts an attempt at its part and composes what is to be sent; none if its query has ended.
-    fn prepare_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<PreparedAttempt> {
+    /// Updates the part and the counters for a new attempt and builds the part to send. Returns `None` if the
+    /// query has ended.
+    fn prepare_attempt(&mut self, now: Micros, request: AttemptRequest) -> Option<PreparedAttempt> {
         let settings = &self.deployment.settings;
-        let (query, part) = self.queries.query_and_part_mut(order.part)?;
-        let effect = settings.classes.get(query.class).map(|class| class.idempotency);
-        let retry_forbidden = effect.is_some_and(|effect| part.is_retry_forbidden(effect));
+        let (query, part) = self.queries.query_and_part_mut(request.part)?;
+        let idempotency = settings.classes.get(query.class).map(|class| class.idempotency);
+        let retry_forbidden = idempotency.is_some_and(|idempotency| part.is_retry_forbidden(idempotency));
         if retry_forbidden {
-            self.commands.push(Command::RetryForbidden(query.wire_id.clone()));
+            self.commands.push(Command::ReportForbiddenRetry(query.wire_id.clone()));
         }
         let number = part.attempt_started(&self.counters);
 
         let time_left = query.deadline - now;
-        let timeout = if order.timeout == Micros(0) { time_left } else { order.timeout.min(time_left) };
+        let timeout = if request.timeout == Micros(0) { time_left } else { request.timeout.min(time_left) };
         let (second_step_name, not_before) = match part.step {
             QueryStep::First => (None, now),
             QueryStep::Second => {
-                (Some(self.body_names.second_step.as_str()), query.second_step_not_before(now))
+                (Some(self.body_keys.second_step.as_str()), query.second_step_not_before(now))
             }
         };
         let may_send = number < settings.limits.max_attempts && time_left > Micros(0) && !retry_forbidden;
         let outgoing = may_send.then(|| OutgoingPart {
-            // The id follows once the attempt is entered.
+            // Set by `start_attempt` once the table has assigned the id.
             attempt_id: 0,
             query_key: query_key(&query.wire_id),
             id: part_id(&query.wire_id, part.shard, second_step_name),
             shard: part.shard,
-            attributes: format!("{}{}", query.idempotency_options, query.second_step_options),
+            attributes: format!("{}{}", query.idempotency_attributes, query.second_step_attributes),
             text: query.text.clone(),
             deadline_us: clock_micros(now + timeout),
-            start_before_us: order.send_within.map(|within| clock_micros(now + within)),
+            start_before_us: request.send_within.map(|within| clock_micros(now + within)),
             not_before_us: clock_micros(not_before),
         });
         Some(PreparedAttempt { number, timeout, outgoing })
