--- a/crates/node/src/clients/admission.rs
+++ b/crates/node/src/clients/admission.rs
@@ -1,9 +1,11 @@
-//! Admission of client connections: a bound on how many are open, and the eviction that makes room for new ones.
+//! Admission of client connections: the limit on open connections, and the eviction of waiting connections
+//! when the number of open ones comes close to that limit.
 //!
-//! Each open connection occupies a place. When free places run short, connections that wait for a request are asked to
-//! close, in this order: those that were never used, longest waiting first; then those between two requests, longest
-//! waiting first. A connection that has a request under way is never evicted. An evicted connection releases its place
-//! at once, and its socket lingers beside those that occupy a place.
+//! Only connections that wait for a request are evicted, in this order: connections that have sent no request
+//! yet, longest waiting first; then connections that are idle between two requests, longest waiting first. A
+//! connection with a request in progress is never evicted. An evicted connection stops counting toward the
+//! limit immediately. Its socket may still perform a lingering close, which has a limit of its own
+//! ([`MAX_LINGERING_CLIENTS`]).
 
 use crate::config::{LiveConfig, MAX_LINGERING_CLIENTS};
 use crate::counters::Counters;
@@ -13,20 +15,22 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// A connection accepted less than this ago is not evicted: its first request may be on its way, or may wait to be
-/// read where many arrived at once.
-const NEWCOMER_GRACE: Duration = Duration::from_millis(50);
-/// One place in this many is kept free by evicting others as new connections arrive: under a flood the kernel's queue,
-/// where a request's age can't be seen, is emptied many at a time and not one for each connection that has closed.
-const RESERVE_DIVISOR: u64 = 16;
-/// At the bound, whether a connection can be evicted is checked this often.
-const FULL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-
-/// Counts the tasks that are inside a scope now.
+/// Time after `accept` during which a connection is not evicted. Its first request may still be in transit,
+/// or may wait to be read because many connections were accepted at once.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(50);
+/// The headroom below the limit is the limit divided by this. Once no more than the headroom is free, each
+/// new connection evicts another one. The headroom lets the accept loop empty the kernel's accept queue in
+/// batches during a flood, instead of accepting one connection per closed connection. The accept queue has to
+/// stay short because the age of a request that waits there is not known.
+const HEADROOM_DIVISOR: u64 = 16;
+/// Interval at which the accept loop tries to evict a connection while the limit is reached.
+const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+
+/// The number of tasks that are currently inside a scope.
 #[derive(Default)]
 struct Gauge(Cell<u64>);
 
-/// One task inside the scope; it leaves when this is dropped.
+/// Counts one task in a [`Gauge`] until it is dropped.
 struct GaugeGuard<'a>(&'a Gauge);
 
 impl Gauge {
@@ -47,7 +51,7 @@
     }
 }
 
-/// Connections that may be evicted, longest waiting first.
+/// A FIFO queue of connections that may be evicted. The connection that has waited longest is evicted first.
 #[derive(Default)]
 struct EvictionQueue {
     waiting: Gauge,
@@ -55,7 +59,7 @@
 }
 
 impl EvictionQueue {
-    /// Asks the connection that has waited longest to close; `false` if none waits.
+    /// Evicts the connection that has waited longest. Returns `false` if the queue is empty.
     fn evict_oldest(&self) -> bool {
         let any = self.waiting.get() > 0;
         if any {
@@ -64,117 +68,119 @@
         any
     }
 
-    /// Waits in the queue until asked to close.
+    /// Waits in the queue until the calling connection is evicted.
     async fn wait_for_eviction(&self) {
         let _waiting = self.waiting.enter();
         self.eviction.notified().await;
     }
 }
 
-/// The places of client connections.
+/// Counts open client connections against the limit, and selects the connections to evict.
 pub(super) struct Admission {
-    live: Rc<LiveConfig>,
+    live_config: Rc<LiveConfig>,
     counters: Rc<Counters>,
-    /// Connections that were accepted just now and have sent no request yet.
-    newcomers: Gauge,
-    /// Connections that have sent no request for longer than a newcomer's grace: evicted first.
+    /// Connections that have sent no request yet and are younger than [`NEW_CONNECTION_GRACE`]. Not evicted.
+    new_connections: Gauge,
+    /// Connections that have sent no request yet and are older than [`NEW_CONNECTION_GRACE`]. Evicted first.
     unused: EvictionQueue,
-    /// Connections between two requests: evicted next.
+    /// Connections between two requests. Evicted if no connection is in `unused`.
     idle: EvictionQueue,
-    /// Signalled when a place is released.
-    place_released: Notify,
-    /// Evicted connections whose sockets still linger.
+    /// Notified when a connection stops counting toward the limit.
+    connection_closed: Notify,
+    /// Evicted connections whose sockets are not closed yet.
     lingering: Cell<usize>,
 }
 
 impl Admission {
-    /// All places are free. The bound is the configuration's `client_connections`.
-    pub(super) fn new(live: Rc<LiveConfig>, counters: Rc<Counters>) -> Admission {
+    /// Starts without connections. The limit is `client_connections` of the configuration in force.
+    pub(super) fn new(live_config: Rc<LiveConfig>, counters: Rc<Counters>) -> Admission {
         Admission {
-            live,
+            live_config,
             counters,
-            newcomers: Gauge::default(),
+            new_connections: Gauge::default(),
             unused: EvictionQueue::default(),
             idle: EvictionQueue::default(),
-            place_released: Notify::new(),
+            connection_closed: Notify::new(),
             lingering: Cell::new(0),
         }
     }
 
-    fn places(&self) -> u64 {
-        self.live.get().transport.max_client_connections as u64
+    fn limit(&self) -> u64 {
+        self.live_config.get().transport.max_client_connections as u64
     }
 
-    fn occupied(&self) -> u64 {
+    fn open(&self) -> u64 {
         self.counters.connections.clients_open.get()
     }
 
-    /// Whether every place is occupied.
-    pub(super) fn is_full(&self) -> bool {
-        self.occupied() >= self.places()
+    /// Returns whether the limit on open connections is reached.
+    pub(super) fn is_at_limit(&self) -> bool {
+        self.open() >= self.limit()
     }
 
-    /// Evicts a connection where free places run short.
-    pub(super) fn make_room_if_crowded(&self) {
-        let places = self.places();
-        if self.occupied() + places / RESERVE_DIVISOR < places {
+    /// Evicts one connection if the headroom below the limit is used up and a connection can be evicted.
+    pub(super) fn evict_if_near_limit(&self) {
+        let limit = self.limit();
+        if self.open() + limit / HEADROOM_DIVISOR < limit {
             return;
         }
         if self.unused.evict_oldest() {
             return;
         }
-        // In a flood of connections that send nothing, the newcomers soon become unused ones that can be evicted.
-        let mostly_newcomers = self.newcomers.get() * 2 >= places;
-        if !mostly_newcomers {
+        // In a flood of connections that send nothing, the new connections move to `unused` when their grace
+        // period ends and are evicted from there. Idle connections, which have sent requests, are spared.
+        let mostly_new = self.new_connections.get() * 2 >= limit;
+        if !mostly_new {
             self.idle.evict_oldest();
         }
     }
 
-    /// Waits until a place is released, or until it is time to evict another connection.
-    pub(super) async fn wait_for_place(&self) {
-        let _ = timeout(FULL_CHECK_INTERVAL, self.place_released()).await;
+    /// Waits until a connection is closed, but at most [`EVICTION_RETRY_INTERVAL`].
+    pub(super) async fn wait_for_capacity(&self) {
+        let _ = timeout(EVICTION_RETRY_INTERVAL, self.connection_closed()).await;
     }
 
-    /// Waits until a place is released.
-    pub(super) async fn place_released(&self) {
-        self.place_released.notified().await;
+    /// Waits until a connection stops counting toward the limit.
+    pub(super) async fn connection_closed(&self) {
+        self.connection_closed.notified().await;
     }
 
-    /// A connection was accepted.
-    pub(super) fn occupy_place(&self) {
+    /// Counts an accepted connection as open.
+    pub(super) fn record_open(&self) {
         self.counters.connections.clients_accepted.increment();
         self.counters.connections.clients_open.increment();
     }
 
-    /// A connection has closed, or was evicted.
-    pub(super) fn release_place(&self) {
+    /// Stops counting a connection as open, because it is closed or evicted.
+    pub(super) fn record_closed(&self) {
         self.counters.connections.clients_open.decrement();
-        self.place_released.notify_one();
+        self.connection_closed.notify_one();
     }
 
-    /// Waits until a connection that has sent no request is evicted.
+    /// Waits until the calling connection, which has sent no request yet, is evicted.
     pub(super) async fn evicted_while_unused(&self, accepted_at: Instant) {
         {
-            let _newcomer = self.newcomers.enter();
-            sleep_until(accepted_at + NEWCOMER_GRACE).await;
+            let _new = self.new_connections.enter();
+            sleep_until(accepted_at + NEW_CONNECTION_GRACE).await;
         }
         self.unused.wait_for_eviction().await;
     }
 
-    /// Waits until a connection between two requests is evicted.
+    /// Waits until the calling connection, which is idle between two requests, is evicted.
     pub(super) async fn evicted_while_idle(&self) {
         self.idle.wait_for_eviction().await;
     }
 
-    /// An evicted connection's socket lingers from now on, without a place. `false` if too many do already: it has
-    /// to close at once.
+    /// Counts an evicted connection as lingering until [`Admission::end_lingering`] is called. Returns
+    /// `false` if [`MAX_LINGERING_CLIENTS`] are lingering already; the connection is then to be closed
+    /// without lingering.
     pub(super) fn begin_lingering(&self) -> bool {
         let lingering = self.lingering.get();
         self.lingering.set(lingering + 1);
         lingering < MAX_LINGERING_CLIENTS
     }
 
-    /// An evicted connection's socket is closed.
+    /// Stops counting an evicted connection as lingering, because its socket is closed.
     pub(super) fn end_lingering(&self) {
         self.lingering.set(self.lingering.get() - 1);
     }
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -1,4 +1,5 @@
-//! One client connection's lifecycle: request and response in turn until a reason to close it, then the close.
+//! The lifecycle of one client connection: requests and responses in turn until there is a [`CloseReason`],
+//! then the close of the socket.
 
 use super::response::Response;
 use super::routes::RequestAction;
@@ -18,27 +19,27 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Malformed requests of one connection after which it is closed.
+/// Number of malformed requests after which a connection is closed.
 const MAX_MALFORMED_REQUESTS: u32 = 16;
 
-/// One open connection of a client.
+/// An open client connection.
 pub(super) struct Connection {
-    /// What all connections share.
+    /// The state shared by all client connections.
     pub(super) context: Rc<ClientContext>,
-    /// Its socket.
+    /// The socket, with the requests read from it.
     pub(super) socket: ClientSocket,
-    /// The front node's shutdown phase.
+    /// The shutdown phase of the front node.
     pub(super) phases: PhaseReceiver,
-    /// When it was accepted.
+    /// The time at which the connection was accepted.
     pub(super) accepted_at: Instant,
-    /// Complete requests read.
+    /// Number of complete requests read.
     pub(super) requests_read: u64,
-    /// Requests rejected as malformed.
+    /// Number of requests rejected as malformed.
     malformed_requests: u32,
 }
 
 impl Connection {
-    /// Serves a connection from its accept to its close.
+    /// Serves a connection from accept to close.
     pub(super) async fn run(
         context: Rc<ClientContext>,
         stream: TcpStream,
@@ -54,16 +55,20 @@
             malformed_requests: 0,
         };
         let reason = loop {
-            if let Err(reason) = connection.exchange().await {
+            if let Err(reason) = connection.serve_request().await {
                 break reason;
             }
         };
         connection.close(reason).await;
-        connection.report_end(peer, reason);
+        connection.report_close(peer, reason);
     }
 
-    /// Reads one request and responds to it; an error is the reason to close the connection.
-    async fn exchange(&mut self) -> Result<(), CloseReason> {
+    /// Reads one request and writes its response.
+    ///
+    /// # Errors
+    /// The reason to close the connection. A response that was due has been written before, unless the reason
+    /// is a failure of the connection or a disconnect of the client.
+    async fn serve_request(&mut self) -> Result<(), CloseReason> {
         let began_at = self.read_request().await?;
         let received_at = self.socket.request_received_at(began_at);
         self.requests_read += 1;
@@ -74,8 +79,8 @@
         let action = self.context.route(&request, received_at);
         let query = action.query_key();
         let pending_reply = PendingReply::new(services.invariants.clone(), query.unwrap_or(0));
-        let outcome = match self.perform(action, received_at).await {
-            Ok(response) => self.respond(&response, query, keep_alive).await,
+        let outcome = match self.handle(action, received_at).await {
+            Ok(response) => self.write_response(&response, query, keep_alive).await,
             Err(reason) => Err(reason),
         };
         if outcome.err().is_none_or(CloseReason::is_closed_by_peer) {
@@ -87,12 +92,8 @@
         }
     }
 
-    /// The response to a request, from the core where it is a query.
-    async fn perform(
-        &mut self,
-        action: RequestAction,
-        received_at: Instant,
-    ) -> Result<Response, CloseReason> {
+    /// Returns the response to a request. A query is passed to the event loop.
+    async fn handle(&mut self, action: RequestAction, received_at: Instant) -> Result<Response, CloseReason> {
         match action {
             RequestAction::Respond(response) => Ok(response),
             RequestAction::Query { key, request } => {
@@ -101,13 +102,13 @@
                         .with_value(received_at.elapsed().as_micros() as u64)
                 };
                 self.context.services.recorder.record(age);
-                self.query_core(request, key).await
+                self.submit_query(request, key).await
             }
         }
     }
 
-    /// Hands a query to the core and waits for its reply, or for the client to disconnect.
-    async fn query_core(
+    /// Sends a query to the event loop and waits for the reply, or for the client to disconnect.
+    async fn submit_query(
         &mut self,
         request: Box<QueryRequest>,
         query: QueryKey,
@@ -118,24 +119,25 @@
             services.recorder.record(|| Record::for_query(EventKind::ClientDisconnected, query));
             return Err(CloseReason::ClientDisconnected);
         }
-        let token = context.take_token();
-        let (reply, mut answer) = oneshot::channel();
-        // The receiver is there as long as the program serves.
-        let _ = services.to_core.send(Message::Query { token, request, reply }).await;
+        let token = context.allocate_token();
+        let (reply_sender, mut reply) = oneshot::channel();
+        // Fails only if the event loop has ended, which ends the program. `reply` then fails too.
+        let _ = services.to_event_loop.send(Message::Query { token, request, reply: reply_sender }).await;
         loop {
             tokio::select! {
                 biased;
-                reply = &mut answer => return Ok(Response::to_query(reply)),
-                stays = self.socket.stays_connected() => if !stays { break },
+                result = &mut reply => return Ok(Response::for_query(result)),
+                connected = self.socket.wait_for_input() => if !connected { break },
             }
         }
         services.recorder.record(|| Record::for_query(EventKind::ClientDisconnected, query));
-        let _ = services.to_core.send(Message::ClientDisconnected { token }).await;
+        let _ = services.to_event_loop.send(Message::ClientDisconnected { token }).await;
         Err(CloseReason::ClientDisconnected)
     }
 
-    /// Writes the response. Returns the reason to close the connection after it, if there is one.
-    async fn respond(
+    /// Writes the response. Returns the reason to close the connection after the response, or `None` to keep
+    /// it open.
+    async fn write_response(
         &mut self,
         response: &Response,
         query: Option<QueryKey>,
@@ -156,12 +158,14 @@
         Ok(close_reason)
     }
 
-    /// Why the connection is to be closed after the response at hand, if it is.
+    /// Returns the reason to close the connection after the current response, or `None` to keep it open.
     fn reason_to_close(&self, keep_alive: bool) -> Option<CloseReason> {
-        // At a shutdown, requests that were read with this one are answered too, as long as there is time.
+        // During a shutdown, pipelined requests that are already buffered are answered too, until the
+        // deadline.
         let deadline = self.context.shutdown_deadline.get();
-        let has_more = !self.socket.requests.is_empty() && deadline.is_some_and(|at| Instant::now() < at);
-        let is_closing = *self.phases.borrow() >= ShutdownPhase::Closing && !has_more;
+        let has_buffered_request =
+            !self.socket.requests.is_empty() && deadline.is_some_and(|at| Instant::now() < at);
+        let is_closing = *self.phases.borrow() >= ShutdownPhase::Closing && !has_buffered_request;
         if !keep_alive {
             Some(CloseReason::ConnectionClose)
         } else if self.malformed_requests >= MAX_MALFORMED_REQUESTS {
@@ -173,26 +177,28 @@
         }
     }
 
-    /// Closes the socket and releases the connection's place: at once where it was evicted, after the close otherwise.
+    /// Closes the socket. The connection stops counting toward the limit on open connections when the socket
+    /// is closed, or immediately if it was evicted.
     async fn close(&mut self, reason: CloseReason) {
-        let linger = self.context.services.live.get().transport.linger;
+        let linger = self.context.services.live_config.get().transport.linger;
         let admission = &self.context.admission;
         if reason == CloseReason::Evicted {
             let may_linger = admission.begin_lingering();
-            admission.release_place();
+            admission.record_closed();
             self.socket.close(if may_linger { linger } else { Duration::ZERO }).await;
             admission.end_lingering();
         } else {
-            // Where we close first, a response may still be on its way, and more bytes of the client too.
+            // If the front node closes first, its last response and further bytes from the client may still
+            // be in transit, so the socket needs a lingering close.
             if !reason.is_closed_by_peer() {
                 self.socket.close(linger).await;
             }
-            admission.release_place();
+            admission.record_closed();
         }
     }
 
-    /// Counts and logs the connection's end.
-    fn report_end(&self, peer: SocketAddr, reason: CloseReason) {
+    /// Counts and logs the close of the connection.
+    fn report_close(&self, peer: SocketAddr, reason: CloseReason) {
         let services = &self.context.services;
         services.counters.closes.increment("client", reason.code());
         info!(services.log, "connection ended"; "side" => "client", "peer" => %peer,
--- a/crates/node/src/clients/listener.rs
+++ b/crates/node/src/clients/listener.rs
@@ -1,5 +1,5 @@
-//! The accept loop: takes connections while there are places for them, and ends once the front node closes and the
-//! kernel's queue is empty.
+//! The accept loop for client connections. It accepts connections while fewer than the limit are open. At a
+//! graceful shutdown it ends once the kernel's accept queue is empty.
 
 use super::connection::Connection;
 use super::ClientContext;
@@ -13,18 +13,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Pause of accepting where the machine has no capacity for any connection, as when descriptors run out.
+/// Delay before the next `accept` after a failure for lack of local resources, such as file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// After this many failures in a row accepting pauses whatever the error: the listener itself may be broken.
+/// The delay of [`ACCEPT_BACKOFF`] is also applied after every run of this many consecutive failures,
+/// whatever the error: the listening socket itself may be broken.
 const MAX_FAILURES_WITHOUT_BACKOFF: u32 = 64;
-/// Failures to accept are logged at most this often; all are counted.
+/// Minimum interval between two log lines about failures of `accept`. All failures are counted.
 const ACCEPT_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// While the front node closes, the listener ends once no connection has been waiting for this long: what the kernel
-/// has queued is accepted first.
+/// In [`ShutdownPhase::Closing`], the accept loop ends once no connection has arrived for this long.
+/// Connections that the kernel has queued are accepted first.
 const CLOSING_ACCEPT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Accepts connections until the front node closes, then those that are queued already.
-pub(crate) async fn listen(context: Rc<ClientContext>, listener: TcpListener, phases: PhaseReceiver) {
+/// Accepts connections until [`ShutdownPhase::Closing`] begins, then those that are already in the accept
+/// queue.
+pub(crate) async fn accept_connections(
+    context: Rc<ClientContext>,
+    listener: TcpListener,
+    phases: PhaseReceiver,
+) {
     Listener { context, listener, phases, is_closing: false, failures: AcceptFailures::default() }
         .run()
         .await;
@@ -34,23 +40,26 @@
     context: Rc<ClientContext>,
     listener: TcpListener,
     phases: PhaseReceiver,
-    /// The front node closes: only what is queued already is accepted.
+    /// [`ShutdownPhase::Closing`] has begun: only connections already in the accept queue are accepted.
     is_closing: bool,
     failures: AcceptFailures,
 }
 
-/// Failures of `accept(2)`.
+/// The state of the handling of failed `accept(2)` calls.
 #[derive(Default)]
 struct AcceptFailures {
-    in_a_row: u32,
+    /// Failures since the last accepted connection.
+    consecutive: u32,
     last_logged_at: Option<Instant>,
 }
 
-/// What a wait for a connection ended with.
+/// The result of waiting for the next connection.
 enum AcceptEvent {
     Accepted(TcpStream, SocketAddr),
     Failed(io::Error),
+    /// [`ShutdownPhase::Closing`] has begun.
     ClosingBegan,
+    /// The accept queue is empty while the front node is closing.
     QueueEmpty,
 }
 
@@ -67,13 +76,13 @@
     async fn run(mut self) {
         loop {
             let admission = &self.context.admission;
-            admission.make_room_if_crowded();
-            if admission.is_full() {
-                admission.wait_for_place().await;
+            admission.evict_if_near_limit();
+            if admission.is_at_limit() {
+                admission.wait_for_capacity().await;
                 continue;
             }
             match self.next_event().await {
-                AcceptEvent::Accepted(stream, peer) => self.admit(stream, peer),
+                AcceptEvent::Accepted(stream, peer) => self.spawn_connection(stream, peer),
                 AcceptEvent::Failed(error) => self.handle_failure(&error).await,
                 AcceptEvent::ClosingBegan => self.is_closing = true,
                 AcceptEvent::QueueEmpty => return,
@@ -83,7 +92,8 @@
 
     async fn next_event(&mut self) -> AcceptEvent {
         if self.is_closing {
-            // This machine has accepted whatever is in the kernel's queue: it is served.
+            // The kernel has completed the handshake of every queued connection, so its client may have sent
+            // a request already and is served.
             match timeout(CLOSING_ACCEPT_TIMEOUT, self.listener.accept()).await {
                 Ok(accepted) => accepted.into(),
                 Err(_) => AcceptEvent::QueueEmpty,
@@ -96,13 +106,14 @@
         }
     }
 
-    fn admit(&mut self, stream: TcpStream, peer: SocketAddr) {
-        self.failures.in_a_row = 0;
-        self.context.admission.occupy_place();
+    fn spawn_connection(&mut self, stream: TcpStream, peer: SocketAddr) {
+        self.failures.consecutive = 0;
+        self.context.admission.record_open();
         tokio::task::spawn_local(Connection::run(self.context.clone(), stream, peer, self.phases.clone()));
     }
 
-    /// Counts and logs the failure, and pauses where the next call would fail as well.
+    /// Counts and logs a failure, and waits for [`ACCEPT_BACKOFF`] if the next `accept` would probably fail
+    /// too.
     async fn handle_failure(&mut self, error: &io::Error) {
         let failed = &self.context.services.counters.connections.accept_failed;
         failed.increment();
@@ -110,11 +121,12 @@
             self.failures.last_logged_at = Some(Instant::now());
             warn!(self.context.services.log, "accepting failed"; "error" => %error, "all" => failed.get());
         }
-        self.failures.in_a_row += 1;
-        // A connection that was aborted in the queue is gone: those behind it are accepted at once.
-        let pause = is_accept_resource_error(error)
-            || self.failures.in_a_row.is_multiple_of(MAX_FAILURES_WITHOUT_BACKOFF);
-        if pause {
+        self.failures.consecutive += 1;
+        // Any other error, such as `ECONNABORTED`, concerns only the connection at the front of the queue,
+        // which is gone. The connections behind it are accepted without delay.
+        let needs_backoff = is_accept_resource_error(error)
+            || self.failures.consecutive.is_multiple_of(MAX_FAILURES_WITHOUT_BACKOFF);
+        if needs_backoff {
             sleep(ACCEPT_BACKOFF).await;
         }
     }
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -1,15 +1,15 @@
-//! The clients' side of the front node: HTTP/1.1 connections over which queries come and are answered.
+//! Client connections of the front node: HTTP/1.1 connections that carry queries and their answers.
 //!
 //! - `listener`: the accept loop.
-//! - `admission`: how many connections may be open, and which are closed to make room for others.
-//! - `connection`: one connection's lifecycle, request after request, until it is closed.
-//! - `request_reader`: waits for a request on a connection, with all its timeouts.
-//! - `socket`: reads, writes and the orderly close of one connection's socket.
-//! - `receive_times`: when the bytes of a request arrived.
-//! - `routes`: what a request asks for, and the checks of a query.
+//! - `admission`: the limit on open connections, and the eviction of waiting connections near that limit.
+//! - `connection`: the lifecycle of one connection, from accept to close.
+//! - `request_reader`: reads the next request of a connection and enforces the read timeouts.
+//! - `socket`: reads, writes and the lingering close on the socket of one connection.
+//! - `receive_times`: the times at which the bytes of a connection were received.
+//! - `routes`: dispatch of a request by method and path, and validation of a query.
 //! - `response`: the HTTP response to a request.
 //!
-//! Each connection is a task of its own; all share a [`ClientContext`].
+//! Each connection is served by a task of its own. All these tasks share one [`ClientContext`].
 
 mod admission;
 mod connection;
@@ -20,7 +20,7 @@
 mod routes;
 mod socket;
 
-pub(crate) use listener::listen;
+pub(crate) use listener::accept_connections;
 
 use crate::config::LiveConfig;
 use crate::counters::Counters;
@@ -35,45 +35,45 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Bytes of one read.
+/// Size in bytes of the shared read buffer, and therefore the maximum size of one read.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What client connections use of the rest of the front node.
+/// The parts of the front node that client connections use.
 pub(crate) struct ClientServices {
     /// The configuration in force.
-    pub(crate) live: Rc<LiveConfig>,
-    /// Counters of `/stats`.
+    pub(crate) live_config: Rc<LiveConfig>,
+    /// The counters reported at `/stats`.
     pub(crate) counters: Rc<Counters>,
-    /// Where queries go.
-    pub(crate) to_core: mpsc::Sender<Message>,
-    /// For one line a connection.
+    /// Sends queries and disconnects of clients to the event loop.
+    pub(crate) to_event_loop: mpsc::Sender<Message>,
+    /// Logs one line per closed connection, and failures of `accept`.
     pub(crate) log: Logger,
-    /// Whether the front node is ready: it knows index servers and does not stop.
+    /// Whether the front node is ready: it knows index servers and is not shutting down.
     pub(crate) ready: Rc<Cell<bool>>,
-    /// Records what becomes of each query.
+    /// The flight recorder, which records the stages of each query.
     pub(crate) recorder: Rc<Recorder>,
-    /// Checks that each request that was read is answered.
+    /// Checks that every request that was read gets a response.
     pub(crate) invariants: Rc<Invariants>,
-    /// Tells how long a request may have waited before it was read.
+    /// Detects pauses of this process, during which received bytes wait unread in the kernel.
     pub(crate) pause_detector: Rc<PauseDetector>,
 }
 
-/// What all client connections share.
+/// The state shared by all client connections.
 pub(crate) struct ClientContext {
     services: ClientServices,
     admission: Admission,
-    /// Where every connection reads to: an idle connection holds no buffer of its own.
+    /// The read buffer of all connections, so that an idle connection holds no buffer of its own.
     read_buffer: RefCell<Vec<u8>>,
-    /// The number of the next query among those of all connections.
+    /// The token of the next query. Tokens are unique across all client connections.
     next_token: Cell<u64>,
-    /// Set when the front node stops: requests that have begun are answered by then.
+    /// The time by which pending requests have to be answered; `None` until a shutdown begins.
     shutdown_deadline: Cell<Option<Instant>>,
 }
 
 impl ClientContext {
-    /// Without any connection yet.
+    /// Creates a context without connections.
     pub(crate) fn new(services: ClientServices) -> ClientContext {
-        let admission = Admission::new(services.live.clone(), services.counters.clone());
+        let admission = Admission::new(services.live_config.clone(), services.counters.clone());
         ClientContext {
             services,
             admission,
@@ -83,18 +83,18 @@
         }
     }
 
-    /// The front node stops: requests that have begun are answered by the deadline.
+    /// Sets the deadline of a shutdown: requests whose first bytes have been received are answered by then.
     pub(crate) fn begin_shutdown(&self, deadline: Instant) {
         self.shutdown_deadline.set(Some(deadline));
     }
 
-    /// Waits until a connection has closed.
+    /// Waits until any client connection is closed.
     pub(crate) async fn connection_closed(&self) {
-        self.admission.place_released().await;
+        self.admission.connection_closed().await;
     }
 
-    /// Numbers a query.
-    fn take_token(&self) -> u64 {
+    /// Allocates the token of a query.
+    fn allocate_token(&self) -> u64 {
         let token = self.next_token.get();
         self.next_token.set(token + 1);
         token
--- a/crates/node/src/clients/receive_times.rs
+++ b/crates/node/src/clients/receive_times.rs
@@ -1,41 +1,46 @@
-//! When the bytes of a client's connection arrived, as far as that can be known.
+//! The times at which the bytes of a client connection were received, as far as they can be known.
 //!
-//! A request that waits its turn behind others, in our buffer or in the kernel's, has waited since its last byte
-//! arrived, and its client's deadline runs from then. Each read is kept with the connection's byte count after it and
-//! the time at which its bytes may have arrived. Where there are too many reads to keep apart, or reading was suspended
-//! because enough was buffered, the earliest possible time is taken.
+//! The deadline of a client's request runs from the time at which the last byte of the request was received.
+//! A pipelined request may then wait behind others, in the process's buffer or in the kernel's. Therefore
+//! each read is stored with the time at which its bytes may have been received and with the number of bytes
+//! read from the connection so far. The earliest possible time is used where the exact time is not known:
+//! where too many reads are stored, and where reading was suspended because the buffer was full.
 
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Reads of one connection that are kept apart; beyond this the two oldest are merged.
+/// Maximum number of stored reads of one connection. Beyond this the two oldest reads are merged.
 const MAX_READS: usize = 64;
 
-/// One read.
+/// One read from the socket.
 #[derive(Clone, Copy, Debug)]
 struct Read {
-    /// Bytes of the connection up to its end.
+    /// Bytes read from the connection up to the end of this read.
     end_offset: u64,
-    /// When its bytes had arrived.
+    /// The time by which the bytes of this read had been received.
     received_at: Instant,
 }
 
-/// The reads of one connection whose bytes are not processed yet, oldest first.
+/// The reads of one connection whose bytes have not been processed yet, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct ReceiveTimes {
     reads: VecDeque<Read>,
-    /// Since when bytes may have waited in the kernel because reading was suspended.
+    /// The time since which received bytes may have waited in the kernel because reading was suspended.
     unread_since: Option<Instant>,
 }
 
 impl ReceiveTimes {
-    /// Nothing is read from now on, whatever arrives, until the next [`ReceiveTimes::record_read`].
+    /// Records that reading is suspended from `now` until the next [`ReceiveTimes::record_read`], although
+    /// bytes may be received in the meantime.
     pub(super) fn suspend_reading(&mut self, now: Instant) {
         self.unread_since.get_or_insert(now);
     }
 
-    /// Records a read. `end_offset` counts the connection's bytes up to its end, `received_at` is when they may have
-    /// arrived as far as the process ran, and `drained` says that nothing is left in the kernel's buffer.
+    /// Records a read.
+    ///
+    /// `end_offset` is the number of bytes read from the connection up to the end of this read. `received_at`
+    /// is the earliest time at which its bytes may have been received, not counting suspended reading.
+    /// `drained` is `true` if no bytes are left in the kernel's receive buffer.
     pub(super) fn record_read(&mut self, end_offset: u64, received_at: Instant, drained: bool) {
         let received_at = self.unread_since.map_or(received_at, |since| since.min(received_at));
         if drained {
@@ -47,7 +52,7 @@
         }
     }
 
-    /// Merges the oldest read into the next one, with the earlier time.
+    /// Merges the two oldest reads. The merged read keeps the earlier time.
     fn merge_oldest(&mut self) {
         let oldest = self.reads.pop_front();
         if let (Some(oldest), Some(next)) = (oldest, self.reads.front_mut()) {
@@ -55,8 +60,8 @@
         }
     }
 
-    /// When the connection's first `end_offset` bytes had arrived; `None` if they were not all read. Reads that end
-    /// before that are forgotten.
+    /// Returns the time by which the first `end_offset` bytes of the connection had been received, or `None`
+    /// if fewer bytes have been read. Removes the reads that end before `end_offset`.
     pub(super) fn received_by(&mut self, end_offset: u64) -> Option<Instant> {
         while self.reads.front().is_some_and(|read| read.end_offset < end_offset) {
             self.reads.pop_front();
--- a/crates/node/src/clients/request_reader.rs
+++ b/crates/node/src/clients/request_reader.rs
@@ -1,4 +1,5 @@
-//! Waits on a connection for its next request: idle and partial requests with their timeouts, eviction and shutdown.
+//! Reads the next request of a client connection. Waiting ends with a timeout, an eviction or a shutdown if
+//! no complete request is received.
 
 use super::connection::Connection;
 use super::response::Response;
@@ -12,30 +13,33 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// A connection's wait for its next request.
+/// The wait of a connection for its next request, from which the deadlines of the wait follow.
 #[derive(Clone, Copy)]
 struct RequestWait {
+    /// The time at which the wait began: after the accept, or after the previous response.
     began_at: Instant,
-    /// When the connection was accepted.
+    /// The time at which the connection was accepted.
     accepted_at: Instant,
-    /// No request has come on the connection yet.
+    /// The connection has not received a complete request yet.
     is_first: bool,
 }
 
 impl RequestWait {
-    /// By when the connection's first request has to be complete, however slowly it comes.
+    /// Returns the time by which the first request of the connection has to be complete, even if bytes of it
+    /// keep arriving. Returns `None` for later requests.
     fn first_request_deadline(self, transport: &Transport) -> Option<Instant> {
         self.is_first.then(|| self.accepted_at + transport.first_request_timeout)
     }
 
-    /// By when a request that began to arrive at `request_began_at` has to be complete.
+    /// Returns the time by which a request whose first byte was received at `request_began_at` has to be
+    /// complete.
     fn request_deadline(self, transport: &Transport, request_began_at: Instant) -> Instant {
         let deadline = request_began_at + transport.request_timeout;
         self.first_request_deadline(transport).map_or(deadline, |first| first.min(deadline))
     }
 
-    /// Waits until the connection, on which nothing arrives, is to be closed, and returns why.
-    async fn idle_end(
+    /// Waits until an idle connection has to be closed, and returns the reason.
+    async fn wait_for_idle_close(
         self,
         context: &ClientContext,
         phases: &mut PhaseReceiver,
@@ -43,7 +47,7 @@
     ) -> CloseReason {
         let shutdown = async {
             wait_for_phase(phases, ShutdownPhase::Closing).await;
-            // A connection that was just accepted may have its first request on the way.
+            // The first request of a newly accepted connection may still be in transit.
             let grace = if self.is_first { transport.linger } else { Duration::ZERO };
             sleep_until(self.began_at + grace).await;
         };
@@ -56,20 +60,26 @@
         };
         let idle_deadline = self.began_at + transport.client_idle_timeout;
         let deadline = self.first_request_deadline(transport).unwrap_or(idle_deadline);
+        let timeout_reason = if self.is_first { CloseReason::NoRequest } else { CloseReason::IdleTimeout };
         tokio::select! {
             () = shutdown => CloseReason::ShutdownIdle,
             () = eviction => CloseReason::Evicted,
-            () = sleep_until(deadline) => if self.is_first { CloseReason::NoRequest } else { CloseReason::IdleTimeout },
+            () = sleep_until(deadline) => timeout_reason,
         }
     }
 }
 
 impl Connection {
-    /// Reads until a request is complete, and returns when it began to arrive.
+    /// Reads until a request is complete. Returns the time at which its first byte was received.
+    ///
+    /// # Errors
+    /// The reason to close the connection. An error response has been written to the client if the request
+    /// was partial or malformed and the connection still works.
     pub(super) async fn read_request(&mut self) -> Result<Instant, CloseReason> {
-        let config = self.context.services.live.get();
+        let config = self.context.services.live_config.get();
         let transport = &config.transport;
-        // What was sent ahead of the last response counts as begun now.
+        // If bytes of a pipelined request are already buffered, its timeout runs from the previous response,
+        // which was written just now.
         let mut request_began_at = (!self.socket.requests.is_empty()).then(Instant::now);
         let wait = RequestWait {
             began_at: Instant::now(),
@@ -81,7 +91,7 @@
                 Ok(RequestProgress::Complete) => return Ok(request_began_at.unwrap_or_else(Instant::now)),
                 Ok(RequestProgress::Partial) => {
                     let began_at = *request_began_at.get_or_insert_with(Instant::now);
-                    self.read_rest(wait.request_deadline(transport, began_at)).await?;
+                    self.read_more(wait.request_deadline(transport, began_at)).await?;
                 }
                 Ok(RequestProgress::Idle) => {
                     self.wait_for_first_bytes(transport, wait).await?;
@@ -92,9 +102,9 @@
         }
     }
 
-    /// Reads more of a request that has begun to arrive. Past the deadline, or at the end of a shutdown, it is
-    /// answered with an error.
-    async fn read_rest(&mut self, deadline: Instant) -> Result<(), CloseReason> {
+    /// Reads more bytes of a partial request. If there are none by the deadline, or by the deadline of a
+    /// shutdown, responds with an error and returns the reason to close the connection.
+    async fn read_more(&mut self, deadline: Instant) -> Result<(), CloseReason> {
         let context = self.context.clone();
         let mut phases = self.phases.clone();
         let shutdown = async {
@@ -110,14 +120,17 @@
             () = shutdown => CloseReason::Shutdown,
         };
         let response = match reason {
-            CloseReason::RequestTimeout => Response::reason(408, "request_timeout"),
-            _ => Response::reason(503, "stopping"),
+            CloseReason::RequestTimeout => Response::with_reason(408, "request_timeout"),
+            _ => Response::with_reason(503, "stopping"),
         };
         self.socket.write(&response, true).await?;
         Err(reason)
     }
 
-    /// Waits on an idle connection for the first bytes of a request; an error is the reason to close it instead.
+    /// Waits on an idle connection for the first bytes of a request.
+    ///
+    /// # Errors
+    /// The reason to close the connection, if no bytes are received before the connection has to be closed.
     async fn wait_for_first_bytes(
         &mut self,
         transport: &Transport,
@@ -128,19 +141,21 @@
         let reason = tokio::select! {
             biased;
             read = self.socket.read() => return read,
-            reason = wait.idle_end(&context, &mut phases, transport) => reason,
+            reason = wait.wait_for_idle_close(&context, &mut phases, transport) => reason,
         };
-        // A request may have arrived by now, and may not have been seen yet: it is served.
+        // The kernel may have received a request that the runtime has not reported as readable yet. It is
+        // served.
         match before_deadline(Instant::now(), self.socket.read()).await {
             Some(read) => read,
             None => Err(reason),
         }
     }
 
-    /// Answers bytes that are no request, and ends the connection for them.
+    /// Responds with an error to bytes that are not a valid HTTP request, and returns the reason to close the
+    /// connection.
     async fn reject_unparsable(&mut self, error: HttpError) -> Result<Instant, CloseReason> {
         self.context.services.counters.connections.bad_requests.increment();
-        self.socket.write(&Response::reason(error.status(), error.code()), true).await?;
+        self.socket.write(&Response::with_reason(error.status(), error.code()), true).await?;
         Err(error.into())
     }
 }
--- a/crates/node/src/clients/routes.rs
+++ b/crates/node/src/clients/routes.rs
@@ -1,4 +1,5 @@
-//! What a request asks for: the front node's own paths, or a query with all its checks.
+//! Dispatch of client requests by method and path: the health and statistics endpoints of the front node, and
+//! queries, which are validated here.
 
 use super::response::Response;
 use super::ClientContext;
@@ -10,11 +11,12 @@
 use pinetrestle_recorder::{query_key, QueryKey};
 use tokio::time::Instant;
 
-/// What a request leads to.
+/// How a request is handled.
 pub(super) enum RequestAction {
-    /// The core decides on this query; `key` names it in the flight recorder.
+    /// The request is a valid query, which is sent to the event loop. `key` identifies it in the flight
+    /// recorder.
     Query { key: QueryKey, request: Box<QueryRequest> },
-    /// It is answered at once.
+    /// The response is already known, and is written without the event loop.
     Respond(Response),
 }
 
@@ -23,7 +25,7 @@
         RequestAction::Query { key: query_key(&request.wire_id), request: Box::new(request) }
     }
 
-    /// The query's key, where the request is one.
+    /// Returns the flight recorder key of the query, or `None` if the request is not a valid query.
     pub(super) fn query_key(&self) -> Option<QueryKey> {
         match self {
             RequestAction::Query { key, .. } => Some(*key),
@@ -32,12 +34,12 @@
     }
 }
 
-/// Why a request is rejected before it reaches the core.
+/// The reason why a request is rejected before it reaches the event loop.
 #[derive(Clone, Copy, Debug)]
 struct RejectedRequest {
     /// HTTP status code.
     status: u16,
-    /// Reason code of the response's body.
+    /// Reason code in the body of the response.
     code: &'static str,
 }
 
@@ -60,15 +62,16 @@
 }
 
 impl ClientContext {
-    /// Decides by method and path. `received_at` is when the request had arrived: a query's time runs from then.
+    /// Determines by method and path how a request is handled. `received_at` is the time at which the whole
+    /// request had been received; the deadline of a query runs from then.
     pub(super) fn route(&self, request: &Request<'_>, received_at: Instant) -> RequestAction {
-        let config = self.services.live.get();
+        let config = self.services.live_config.get();
         let paths = &config.names.wire.paths;
         match (request.method(), request.path()) {
             ("GET", path) if path == paths.ready => RequestAction::Respond(self.readiness()),
-            ("GET", path) if path == paths.live => RequestAction::Respond(Response::reason(200, "live")),
+            ("GET", path) if path == paths.live => RequestAction::Respond(Response::with_reason(200, "live")),
             ("GET", path) if path == paths.stats => RequestAction::Respond(self.stats()),
-            ("POST", path) => match read_query(&config, request, path, received_at) {
+            ("POST", path) => match parse_query(&config, request, path, received_at) {
                 Ok(query) => RequestAction::query(query),
                 Err(rejected) => self.reject(rejected),
             },
@@ -79,9 +82,9 @@
 
     fn readiness(&self) -> Response {
         if self.services.ready.get() {
-            Response::reason(200, "ready")
+            Response::with_reason(200, "ready")
         } else {
-            Response::reason(503, "not_ready")
+            Response::with_reason(503, "not_ready")
         }
     }
 
@@ -96,21 +99,21 @@
     }
 }
 
-/// Reads and checks a query, field by field.
-fn read_query(
+/// Parses and validates a query: its header fields, its path and its body.
+fn parse_query(
     config: &Config,
     request: &Request<'_>,
     path: &str,
     received_at: Instant,
 ) -> Result<QueryRequest, RejectedRequest> {
     let fields = &config.names.wire.header_names;
-    let class = read_class(config, request, path)?;
-    let tenant = read_tenant(config, request)?;
+    let class = parse_class(config, request, path)?;
+    let tenant = parse_tenant(config, request)?;
     let wire_id = query::parse_query_id(request.field(&fields.id)?)?.to_owned();
     let expiry = Micros(query::parse_expiry(request.field(&fields.expires)?)?);
     let body = query::parse_query_body(request.body, &config.names.wire.body_keys, config.shards)?;
     let class_settings = &config.deployment.settings.classes[class];
-    // No query waits longer than its class allows, whatever the request says.
+    // The deadline of the class is an upper bound for the expiry that the request states.
     let expires_in = expiry.min(class_settings.deadline) - Micros(received_at.elapsed().as_micros() as i64);
     let is_client_retry = request.field(&fields.retry)? == Some("1");
     let needs_key = class_settings.idempotency == Idempotency::Keyed;
@@ -128,8 +131,9 @@
     })
 }
 
-/// The index of the query's class: the first segment of the path names it, and a header field may do so too.
-fn read_class(config: &Config, request: &Request<'_>, path: &str) -> Result<usize, RejectedRequest> {
+/// Returns the index of the class of a query. The first segment of the path is the name of the class. A
+/// header field may state the class too, and then has to state the same one.
+fn parse_class(config: &Config, request: &Request<'_>, path: &str) -> Result<usize, RejectedRequest> {
     let in_path = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     let name = request.field(&config.names.wire.header_names.class)?.unwrap_or(in_path);
     let class = config.deployment.class(name).ok_or(RejectedRequest::new(404, "unknown_class"))?;
@@ -139,8 +143,9 @@
     Ok(class)
 }
 
-/// The index of the query's tenant; `None` where the request names none or the deployment has none.
-fn read_tenant(config: &Config, request: &Request<'_>) -> Result<Option<usize>, RejectedRequest> {
+/// Returns the index of the tenant of a query, or `None` if the request states no tenant or the deployment
+/// defines no tenants.
+fn parse_tenant(config: &Config, request: &Request<'_>) -> Result<Option<usize>, RejectedRequest> {
     let Some(name) = request.field(&config.names.wire.header_names.tenant)? else { return Ok(None) };
     if config.deployment.tenants.is_empty() {
         return Ok(None);
--- a/crates/node/src/clients/socket.rs
+++ b/crates/node/src/clients/socket.rs
@@ -1,4 +1,5 @@
-//! One client connection's socket: reads into the request parser, bounded writes, and the orderly close.
+//! The socket of one client connection: reads into the request parser, writes with a timeout, and the
+//! lingering close.
 
 use super::receive_times::ReceiveTimes;
 use super::response::Response;
@@ -14,29 +15,31 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Bytes that are read and discarded after our end of the connection is closed; a client that sends more has had its
-/// response.
+/// Maximum number of bytes that are read and discarded during a lingering close. A client that sends more
+/// after the response has had time to receive the response.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// How often a client whose bytes are not read, because it has sent too far ahead, is checked for a disconnect.
+/// Interval at which a connection is checked for a disconnect while it is not read, because its receive
+/// buffer is full of pipelined requests.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The socket with what was read from it.
+/// The socket of a client connection, with the bytes read from it.
 pub(super) struct ClientSocket {
     context: Rc<ClientContext>,
     stream: TcpStream,
-    /// The requests that were read.
+    /// Parses the bytes read into requests.
     pub(super) requests: RequestParser,
     receive_times: ReceiveTimes,
-    /// Bytes read.
+    /// Number of bytes read.
     pub(super) bytes_in: u64,
-    /// Bytes written.
+    /// Number of bytes written.
     pub(super) bytes_out: u64,
 }
 
 impl ClientSocket {
-    /// A socket that was just accepted.
+    /// Wraps a newly accepted socket.
     pub(super) fn new(context: Rc<ClientContext>, stream: TcpStream) -> ClientSocket {
-        // Without it responses would wait for acknowledgements; the connection works all the same.
+        // Nagle's algorithm would delay responses until earlier ones are acknowledged. The connection works
+        // without the option too, so a failure to set it is ignored.
         let _ = stream.set_nodelay(true);
         ClientSocket {
             context,
@@ -48,14 +51,19 @@
         }
     }
 
-    /// When the request at the front had arrived completely, `began_at` at the latest: a request that was sent ahead
-    /// of the last response has waited its turn since then.
+    /// Returns the time by which the current request had been received completely, but no later than
+    /// `began_at`.
+    ///
+    /// For a pipelined request, which had to wait for the previous response, this is earlier than `began_at`.
     pub(super) fn request_received_at(&mut self, began_at: Instant) -> Instant {
         let request_end = self.bytes_in - self.requests.buffered_after_request() as u64;
         self.receive_times.received_by(request_end).map_or(began_at, |received_at| received_at.min(began_at))
     }
 
-    /// Waits for bytes and takes them.
+    /// Waits until bytes can be read, and passes them to the request parser.
+    ///
+    /// # Errors
+    /// The reason to close the connection, if the client has closed it or reading fails.
     pub(super) async fn read(&mut self) -> Result<(), CloseReason> {
         loop {
             if self.stream.readable().await.is_err() {
@@ -72,7 +80,8 @@
         }
     }
 
-    /// Takes the bytes that are there and returns how many; 0 is the client's end of the connection.
+    /// Reads the available bytes into the request parser and returns their number. 0 means that the client
+    /// has closed its side of the connection.
     fn try_read(&mut self) -> io::Result<usize> {
         let services = &self.context.services;
         let mut buffer = self.context.read_buffer.borrow_mut();
@@ -85,29 +94,31 @@
         Ok(count)
     }
 
-    /// Waits for the client to send something or to disconnect; `false` if it has disconnected.
-    pub(super) async fn stays_connected(&mut self) -> bool {
+    /// Waits until the client sends more bytes or disconnects. Returns `false` if it has disconnected.
+    pub(super) async fn wait_for_input(&mut self) -> bool {
         if self.requests.wants_read() {
             return self.read().await.is_ok();
         }
         self.receive_times.suspend_reading(Instant::now());
-        self.disconnected().await;
+        self.wait_for_disconnect().await;
         false
     }
 
-    /// Waits until a client that is not read, since it has sent too far ahead, has disconnected.
-    async fn disconnected(&self) {
+    /// Waits until the client disconnects, without reading, because the receive buffer is full of pipelined
+    /// requests.
+    async fn wait_for_disconnect(&self) {
         loop {
             match self.stream.ready(Interest::READABLE).await {
                 Ok(ready) if !ready.is_read_closed() && !ready.is_error() => {}
                 _ => return,
             }
-            // What it has sent stays unread and the socket readable, so readiness can't be awaited.
+            // Unread bytes keep the socket readable, so waiting for readiness would return immediately.
             sleep(DISCONNECT_CHECK_INTERVAL).await;
         }
     }
 
-    /// Whether the client has disconnected already, just behind its request.
+    /// Reads the available bytes and returns whether the client has already disconnected after its request.
+    /// Returns `false` without reading if the receive buffer is full.
     pub(super) fn has_disconnected(&mut self) -> bool {
         if !self.requests.wants_read() {
             return false;
@@ -118,23 +129,30 @@
         }
     }
 
-    /// Writes a response, head and body in one gathered write. `close` announces the end of the connection.
+    /// Writes a response, head and body with vectored writes. If `close` is true, the head announces that the
+    /// connection will be closed.
+    ///
+    /// # Errors
+    /// The reason to close the connection, if writing fails or takes longer than `answer_write_timeout`.
     pub(super) async fn write(&mut self, response: &Response, close: bool) -> Result<(), CloseReason> {
         let body = &response.body;
         let head = response_head(response.status, body.len(), response.retry_after, close);
-        let deadline = Instant::now() + self.context.services.live.get().transport.answer_write_timeout;
+        let deadline =
+            Instant::now() + self.context.services.live_config.get().transport.answer_write_timeout;
         let total = head.len() + body.len();
         let mut written = 0;
         while written < total {
-            let head_left = &head[written.min(head.len())..];
-            let body_left = &body[written.saturating_sub(head.len())..];
-            let slices = [IoSlice::new(head_left), IoSlice::new(body_left)];
+            let unsent_head = &head[written.min(head.len())..];
+            let unsent_body = &body[written.saturating_sub(head.len())..];
+            let slices = [IoSlice::new(unsent_head), IoSlice::new(unsent_body)];
             match retry_interrupted(|| self.stream.try_write_vectored(&slices)) {
                 Ok(count) => {
                     written += count;
                     self.count_written(count);
                 }
-                Err(error) if error.kind() == ErrorKind::WouldBlock => self.writable_by(deadline).await?,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    self.wait_until_writable(deadline).await?;
+                }
                 Err(error) if is_out_of_buffers(&error) && Instant::now() < deadline => {
                     sleep(BUFFER_RETRY_DELAY).await;
                 }
@@ -149,7 +167,7 @@
         self.context.services.counters.connections.client_bytes_out.add(count as u64);
     }
 
-    async fn writable_by(&self, deadline: Instant) -> Result<(), CloseReason> {
+    async fn wait_until_writable(&self, deadline: Instant) -> Result<(), CloseReason> {
         match before_deadline(deadline, self.stream.ready(Interest::WRITABLE)).await {
             Some(Ok(_)) => Ok(()),
             Some(Err(_)) => Err(CloseReason::WriteFailed),
@@ -157,26 +175,30 @@
         }
     }
 
-    /// Closes our end of the connection, then reads on for the time of `linger`, since bytes left unread would make
-    /// the kernel reset the connection and drop what the client has not read yet (RFC 9112 section 9.6). A request
-    /// among those bytes is not taken: the client sees the end without a response and sends it again elsewhere.
+    /// Performs a lingering close: shuts down the write side of the connection, then reads and discards input
+    /// for up to `linger`.
+    ///
+    /// If bytes were left unread, the kernel would reset the connection and the client could lose a response
+    /// that it has not read yet (RFC 9112 section 9.6). A request among the discarded bytes gets no response.
+    /// Its client sees the connection close and can retry the request on another connection.
     pub(super) async fn close(&mut self, linger: Duration) {
-        // A connection that is gone already needs no orderly close.
+        // An error means that the connection is already closed or broken.
         let _ = self.stream.shutdown().await;
         let _ = timeout(linger, self.discard_input()).await;
     }
 
-    /// Reads and discards until the client's end of the connection, an error, or the bound.
+    /// Reads and discards input until the client closes its side, an error occurs, or [`MAX_DISCARDED_BYTES`]
+    /// have been read.
     async fn discard_input(&self) {
-        let mut left = MAX_DISCARDED_BYTES;
-        while left > 0 {
+        let mut remaining = MAX_DISCARDED_BYTES;
+        while remaining > 0 {
             if self.stream.readable().await.is_err() {
                 return;
             }
             let read = retry_interrupted(|| self.stream.try_read(&mut self.context.read_buffer.borrow_mut()));
             match read {
                 Ok(0) => return,
-                Ok(count) => left = left.saturating_sub(count),
+                Ok(count) => remaining = remaining.saturating_sub(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
                 Err(error) if is_out_of_buffers(&error) => sleep(BUFFER_RETRY_DELAY).await,
                 Err(_) => return,
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,7 +1,7 @@
 //! A front node from its start to the end of its graceful shutdown: starts the tasks, waits for the request to stop,
 //! and lets them finish.
 
-use crate::clients::{listen, ClientContext, ClientServices};
+use crate::clients::{accept_connections, ClientContext, ClientServices};
 use crate::config::{Config, LiveConfig};
 use crate::counters::Counters;
 use crate::discovery::DiscoveryTask;
@@ -147,7 +147,7 @@
         let event_loop = shared.start_event_loop(host, inbox, watch_requests);
         spawn_local(shared.pause_detector.clone().run(shared.recorder.clone()));
         let clients = Rc::new(shared.new_client_context());
-        let listening = spawn_local(listen(clients.clone(), listener, phases));
+        let listening = spawn_local(accept_connections(clients.clone(), listener, phases));
         shared.start_reloader(control.reloads, discovery_moved);
         RunningNode { shared, records, clients, phase, event_loop, listening }
     }
@@ -235,9 +235,9 @@
 
     fn new_client_context(&self) -> ClientContext {
         ClientContext::new(ClientServices {
-            live: self.live_config.clone(),
+            live_config: self.live_config.clone(),
             counters: self.counters.clone(),
-            to_core: self.to_event_loop.clone(),
+            to_event_loop: self.to_event_loop.clone(),
             log: self.log.clone(),
             ready: self.ready.clone(),
             recorder: self.recorder.clone(),
