--- a/crates/node/src/arguments.rs
+++ b/crates/node/src/arguments.rs
@@ -1,20 +1,21 @@
-//! The command line of `pinetrestle-node`.
+//! The command line arguments of `pinetrestle-node`.
 
 use clap::Parser;
 use std::path::PathBuf;
 
-/// One front node. Its configuration is named by RELAY_CONFIG.
+/// Runs one front node. The environment variable RELAY_CONFIG is the path of its configuration file.
 #[derive(Debug, Parser)]
 #[command(name = "pinetrestle-node", version)]
 pub(crate) struct Arguments {
-    /// Operator file of the flight recorder, JSON5; without it nothing is recorded.
+    /// Operator file of the flight recorder (JSON5). Without it nothing is recorded.
     #[arg(long, value_name = "FILE")]
     pub(crate) recorder: Option<PathBuf>,
-    /// Names of header fields, paths, keys and frames, JSON in the operators' form; without it those of the protocol
-    /// page.
+    /// Names file (JSON) with the deployment's header fields, paths, JSON keys and frame letters. Names that
+    /// are not in the file, or all names without it, are those of the protocol page.
     #[arg(long, value_name = "FILE")]
     pub(crate) names: Option<PathBuf>,
-    /// Names in the settings, JSON in the operators' form (its `init`); without it those of the wire page.
+    /// Wire description (JSON) whose object `init` contains the deployment's names of settings keys. Without
+    /// it the settings keys are those of the wire page.
     #[arg(long = "words", value_name = "FILE")]
     pub(crate) settings_names: Option<PathBuf>,
 }
--- a/crates/node/src/config/live.rs
+++ b/crates/node/src/config/live.rs
@@ -1,20 +1,23 @@
-//! The configuration in force.
+//! The configuration in force, which a reload replaces.
 
 use crate::config::Config;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The configuration in force, shared by all tasks. What a reload may change is read from here at each use.
+/// The configuration in force, shared by all tasks.
+///
+/// Values that a reload may change are to be read from here each time they are used.
 #[derive(Debug)]
 pub struct LiveConfig(RefCell<Rc<Config>>);
 
 impl LiveConfig {
-    /// Puts the first configuration in force.
+    /// Puts the initial configuration in force.
     pub fn new(config: Config) -> LiveConfig {
         LiveConfig(RefCell::new(Rc::new(config)))
     }
 
-    /// The configuration in force now. A later [`replace`](LiveConfig::replace) doesn't change the returned one.
+    /// Returns the configuration in force. The returned value is not affected by a later
+    /// [`replace`](LiveConfig::replace).
     pub fn get(&self) -> Rc<Config> {
         self.0.borrow().clone()
     }
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,8 +1,9 @@
-//! The configuration of a front node: read from one JSON file, checked as a whole and given its defaults.
+//! The configuration of a front node, which is read from one JSON file.
 //!
-//! [`Config`] is the whole of it. `file` finds and parses the file, [`DeploymentNames`] holds the names that a
-//! deployment chooses for itself, [`Transport`] the timeouts and capacities of the sockets, and [`LiveConfig`] the
-//! configuration that is in force while the program serves.
+//! [`Config`] is the complete, validated configuration with all defaults filled in. The module `file` finds
+//! and parses the configuration file. [`DeploymentNames`] contains the names that a deployment may choose,
+//! [`Transport`] the timeouts and limits of the sockets. [`LiveConfig`] holds the [`Config`] in force while
+//! the program runs.
 
 pub(crate) mod file;
 mod live;
@@ -15,70 +16,69 @@
 pub(crate) use transport::MAX_LINGERING_CLIENTS;
 
 use crate::flight_recorder::RecorderSettings;
-use file::{DEFAULT_SOCKETS, FILE_VARIABLE};
+use file::{DEFAULT_SOCKET_LIMIT, FILE_VARIABLE};
 use pinetrestle_protocol::endpoint_list::{self, ListUpdate};
 use pinetrestle_settings::fields::{count, field, maybe, text, FieldError, Parsed};
 use pinetrestle_settings::Deployment;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Fewest descriptors with which a front node can work.
-const MIN_SOCKETS: u64 = 64;
-/// The base of the seed's digits.
-const HEXADECIMAL: u32 = 16;
+/// Minimum of `limits.sockets`. A front node can't work with fewer file descriptors.
+const MIN_SOCKET_LIMIT: u64 = 64;
+/// The base of the digits of the seed.
+const SEED_RADIX: u32 = 16;
 
 /// The configuration of one front node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The front node's name.
+    /// The name of the front node.
     pub name: String,
-    /// The address where clients connect.
+    /// The address on which client connections are accepted.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The seed of random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The endpoint list as last known before the start, possibly stale.
+    /// The endpoint list to start with, which may be stale. It is used until discovery sends a newer one.
     pub initial_list: ListUpdate,
-    /// The deployment's settings.
+    /// The settings of the deployment.
     pub deployment: Deployment,
-    /// Number of shards.
+    /// The number of shards.
     pub shards: u32,
-    /// Timeouts and capacities of the sockets.
+    /// Timeouts and limits of the sockets.
     pub transport: Transport,
-    /// The names of the deployment; a file that is loaded later is read by them too.
+    /// The names chosen by the deployment. They also apply to a file that is loaded later by a reload.
     pub names: DeploymentNames,
-    /// The flight recorder's operator file; off where there is none.
+    /// The settings of the flight recorder, from its operator file. The recorder is off without that file.
     pub recorder: RecorderSettings,
-    /// The settings as the file states them, to tell whether those of another file differ.
+    /// The object `settings` as read from the file, to detect whether a reloaded file changes it.
     raw_settings: Value,
 }
 
-/// A configuration that may replace the one in force.
+/// The result of a reload: a configuration that may replace the one in force.
 #[derive(Clone, Debug)]
 pub struct Revision {
-    /// The configuration, with the keys of `needs_restart` as they are in force now.
+    /// The new configuration. The keys in `needs_restart` keep the values in force.
     pub config: Config,
-    /// Keys of the file whose new values take effect at the next start only.
+    /// Keys of the file whose values have changed but take effect only after a restart.
     pub needs_restart: Vec<&'static str>,
 }
 
 impl Config {
-    /// Reads the configuration from the JSON value of its file, with the names of the protocol page.
+    /// Parses the configuration from the JSON value of its file, with the default [`DeploymentNames`].
     ///
     /// # Errors
-    ///
-    /// As [`Config::read`].
+    /// The same errors as [`Config::from_json_with_names`].
     pub fn from_json(file: &Value) -> Parsed<Config> {
-        Config::read(file, &DeploymentNames::default())
+        Config::from_json_with_names(file, &DeploymentNames::default())
     }
 
-    /// Reads the configuration from the JSON value of its file, with the names of a deployment.
+    /// Parses the configuration from the JSON value of its file, with names chosen by the deployment.
     ///
     /// # Errors
-    ///
-    /// The first key that is missing or wrong, by its whole path (`settings.rules.fall`).
-    pub fn read(file: &Value, names: &DeploymentNames) -> Parsed<Config> {
+    /// A key is missing or its value is invalid. The error contains the full path of the first such key
+    /// (`settings.rules.fall`).
+    pub fn from_json_with_names(file: &Value, names: &DeploymentNames) -> Parsed<Config> {
         if !file.is_object() {
             return Err(FieldError::new(FILE_VARIABLE, "is not a JSON object"));
         }
@@ -87,9 +87,9 @@
         let initial_list = read_initial_list(file, names)?;
         let shards = deployment.transport.shards.filter(|shards| *shards > 0);
         let shards = shards.ok_or_else(|| FieldError::new("settings.family_info.slabs", "is missing"))?;
-        let sockets = read_socket_limit(file)?;
+        let socket_limit = read_socket_limit(file)?;
         let transport = file.get("transport").unwrap_or(&Value::Null);
-        let transport = Transport::read(transport, &deployment, sockets);
+        let transport = Transport::from_json(transport, &deployment, socket_limit);
         Ok(Config {
             name: text(file, "name")?.to_owned(),
             listen: read_address(file, "listen")?,
@@ -105,16 +105,18 @@
         })
     }
 
-    /// Reads the configuration that takes this one's place while the program runs. The settings stay as they are in
-    /// force, since open queries and attempts were counted by them.
+    /// Parses a file that is reloaded while this configuration is in force.
     ///
-    /// # Errors
+    /// The new configuration keeps the settings of the deployment of this one, because open queries and
+    /// attempts have been counted according to them.
     ///
-    /// As [`Config::read`]; or the file is for another front node or another address to listen on.
+    /// # Errors
+    /// The same errors as [`Config::from_json_with_names`]. The file is also rejected if it changes `name` or
+    /// `listen`.
     pub fn revised(&self, file: &Value) -> Parsed<Revision> {
-        let config = self.read_next(file)?;
-        let fixed = [("name", config.name == self.name), ("listen", config.listen == self.listen)];
-        if let Some((key, _)) = fixed.iter().find(|(_, unchanged)| !unchanged) {
+        let config = self.parse_reloaded(file)?;
+        let fixed_keys = [("name", config.name == self.name), ("listen", config.listen == self.listen)];
+        if let Some((key, _)) = fixed_keys.iter().find(|(_, unchanged)| !unchanged) {
             return Err(FieldError::new(key, "can't change while the program runs"));
         }
         if config.raw_settings == self.raw_settings {
@@ -122,20 +124,21 @@
         }
         let mut file = file.clone();
         file["settings"] = self.raw_settings.clone();
-        Ok(Revision { config: self.read_next(&file)?, needs_restart: vec!["settings"] })
+        Ok(Revision { config: self.parse_reloaded(&file)?, needs_restart: vec!["settings"] })
     }
 
-    /// Reads a file with what the command line stated at the start.
-    fn read_next(&self, file: &Value) -> Parsed<Config> {
-        let config = Config::read(file, &self.names)?;
+    /// Parses a file and takes over the values that come from the command line: the names and the recorder
+    /// settings.
+    fn parse_reloaded(&self, file: &Value) -> Parsed<Config> {
+        let config = Config::from_json_with_names(file, &self.names)?;
         Ok(Config { recorder: self.recorder.clone(), ..config })
     }
 
-    /// Reads the file that the environment names, completed by the environment.
+    /// Reads the configuration file at the path in the environment variable `RELAY_CONFIG`. Absent keys are
+    /// taken from `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY`.
     ///
     /// # Errors
-    ///
-    /// `RELAY_CONFIG` is not set, or its file can't be read or is not JSON.
+    /// `RELAY_CONFIG` is not set, or the file can't be read or is not JSON.
     pub fn file_from_environment() -> Parsed<Value> {
         let path = file::path_from_environment()?;
         file::parse(&path, std::fs::read(&path))
@@ -149,7 +152,8 @@
     Ok(deployment)
 }
 
-/// The decision core divides by these figures, or compares with them, without a check of its own.
+/// Checks the values of the classes that the decision core divides by or compares with, since the core
+/// doesn't check them itself.
 fn check_classes(deployment: &Deployment) -> Parsed<()> {
     let classes = &deployment.settings.classes;
     if classes.is_empty() {
@@ -170,6 +174,8 @@
     Ok(())
 }
 
+/// Checks the counts that the decision core divides by or compares with, since the core doesn't check them
+/// itself.
 fn check_counts(deployment: &Deployment) -> Parsed<()> {
     let settings = &deployment.settings;
     let positive = [
@@ -194,13 +200,13 @@
 }
 
 fn read_socket_limit(file: &Value) -> Parsed<usize> {
-    let stated = match file.get("limits") {
+    let configured = match file.get("limits") {
         None => None,
         Some(limits) => maybe(limits, "sockets", count).map_err(|error| error.within("limits"))?,
     };
-    let sockets = stated.unwrap_or(DEFAULT_SOCKETS);
-    if sockets < MIN_SOCKETS {
-        return Err(FieldError::new("limits.sockets", format!("is under {MIN_SOCKETS}")));
+    let sockets = configured.unwrap_or(DEFAULT_SOCKET_LIMIT);
+    if sockets < MIN_SOCKET_LIMIT {
+        return Err(FieldError::new("limits.sockets", format!("must be at least {MIN_SOCKET_LIMIT}")));
     }
     Ok(sockets as usize)
 }
@@ -209,10 +215,10 @@
     text(file, key)?.parse().map_err(|_| FieldError::new(key, "is not an address with a port"))
 }
 
-/// A seed is 16 hex digits, or a JSON number.
+/// Reads a seed: a string of hexadecimal digits, or a JSON integer.
 fn read_seed(file: &Value, key: &str) -> Parsed<u64> {
     let seed = match field(file, key)? {
-        Value::String(digits) => u64::from_str_radix(digits, HEXADECIMAL).ok(),
+        Value::String(digits) => u64::from_str_radix(digits, SEED_RADIX).ok(),
         number => number.as_u64().or_else(|| number.as_i64().map(|seed| seed as u64)),
     };
     seed.ok_or_else(|| FieldError::new(key, "is not 16 hex digits"))
--- a/crates/node/src/config/names.rs
+++ b/crates/node/src/config/names.rs
@@ -1,4 +1,4 @@
-//! The names of one deployment: those on its sockets and the keys of its settings.
+//! The names that a deployment may choose: names in its network protocols, and the keys of its settings.
 
 use crate::error::NodeError;
 use pinetrestle_protocol::names::WireNames;
@@ -7,22 +7,23 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Names that a deployment may choose for itself. The defaults are those of the operators' protocol and wire pages.
+/// Names that a deployment may choose.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentNames {
-    /// Header fields, paths, body keys and frame letters on the sockets.
+    /// Header fields, paths, keys of JSON bodies, and letters of frames in the network protocols. The
+    /// defaults are the names of the operators' protocol page.
     pub wire: Rc<WireNames>,
-    /// Keys of the settings object.
+    /// Keys of the object `settings` of the configuration file. The defaults are the keys of the operators'
+    /// wire page.
     pub setting_keys: KeyAliases,
 }
 
 impl DeploymentNames {
-    /// Reads the names from JSON files; a path that is `None` leaves the defaults in force.
+    /// Reads the names from JSON files. If a path is `None`, the default names are used.
     ///
     /// # Errors
-    ///
     /// [`NodeError::NamesFileUnreadable`], [`NodeError::NamesFileNotJson`], [`NodeError::WireNames`] or
-    /// [`NodeError::SettingKeys`], each with the path of the file.
+    /// [`NodeError::SettingKeys`]. Each contains the path of the file.
     pub fn from_files(
         wire: Option<&Path>,
         setting_keys: Option<&Path>,
--- a/crates/node/src/config/transport.rs
+++ b/crates/node/src/config/transport.rs
@@ -1,4 +1,4 @@
-//! Timeouts and capacities of the sockets: the object `transport` of the configuration file, with its defaults.
+//! Timeouts and limits of the sockets: the object `transport` of the configuration file, with its defaults.
 
 use pinetrestle::interface::Micros;
 use pinetrestle_settings::fields::{count, maybe, FieldError, Parsed};
@@ -6,16 +6,18 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Connections of clients that gave up their place to others and are still read on, at most. They hold descriptors
-/// beside those of the connections that count; one more is closed without lingering, or a flood of silent clients
-/// would hold up whoever connects after it.
+/// Maximum number of evicted client connections that perform a lingering close at the same time. They hold
+/// file descriptors in addition to the connections that count toward `client_connections`. Connections
+/// evicted beyond this maximum are closed without lingering. Otherwise a flood of clients that send nothing
+/// would delay the clients that connect afterwards.
 pub(crate) const MAX_LINGERING_CLIENTS: usize = 8;
-/// Descriptors that no connection within the capacities uses: standard streams, the poller, signals, the listener,
-/// files that are read, discovery (a watch, two that are being opened, some that end), spares, and the clients'
+/// File descriptors reserved for other uses than the connections counted by `server_connections` and
+/// `client_connections`: the standard streams, the poller, signals, the listener, files that are read,
+/// discovery (one watch, two that are being opened, some that are ending), spares, and the lingering client
 /// connections of [`MAX_LINGERING_CLIENTS`].
-const OTHER_DESCRIPTORS: usize = 24 + MAX_LINGERING_CLIENTS;
-/// The share of the descriptors, as a divisor, that connections to index servers get by default.
-const DEFAULT_SERVER_SHARE: u64 = 3;
+const RESERVED_DESCRIPTORS: usize = 24 + MAX_LINGERING_CLIENTS;
+/// Divisor of the number of available file descriptors. The quotient is the default of `server_connections`.
+const DEFAULT_SERVER_DIVISOR: u64 = 3;
 
 /// Default of `first_ms` in milliseconds.
 const DEFAULT_FIRST_REQUEST_MS: u64 = 2_000;
@@ -27,11 +29,11 @@
 const DEFAULT_ANSWER_WRITE_MS: u64 = 10_000;
 /// Default of `linger_ms` in milliseconds.
 const DEFAULT_LINGER_MS: u64 = 500;
-/// Default of `connect_ms` and `frame_ms` in milliseconds, where the settings state no connect timeout.
+/// Default of `connect_ms` and `frame_ms` in milliseconds, if the settings contain no connect timeout.
 const DEFAULT_CONNECT_MS: u64 = 250;
-/// Default of `server_idle_ms` in milliseconds, where the settings state no idle time of index servers.
+/// Default of `server_idle_ms` in milliseconds, if the settings contain no idle timeout of the index servers.
 const DEFAULT_SERVER_IDLE_MS: u64 = 8_000;
-/// Default of `streams`, where the settings state none.
+/// Default of `streams`, if the settings contain no number of streams per connection.
 const DEFAULT_STREAMS: u64 = 32;
 /// Default of `server_backlog_bytes` in bytes.
 const DEFAULT_WRITE_BACKLOG: u64 = 64 * 1024;
@@ -39,20 +41,21 @@
 const DEFAULT_CANCELS_WITHOUT_REPLY: u64 = 3;
 /// Default of `discovery_answer_ms` in milliseconds.
 const DEFAULT_DISCOVERY_ANSWER_MS: u64 = 3_000;
-/// Default of `watch_silence_ms` in milliseconds; a sign of life is due every 2,000 ms.
+/// Default of `watch_silence_ms` in milliseconds. Discovery sends a keep-alive line every 2,000 ms.
 const DEFAULT_WATCH_SILENCE_MS: u64 = 2_500;
 /// Default of `watch_again_ms` in milliseconds.
 const DEFAULT_WATCH_RETRY_MS: u64 = 500;
 /// Default of `hand_over_ms` in milliseconds.
 const DEFAULT_HANDOVER_MS: u64 = 500;
-/// The longest deadline in milliseconds that the default of `stop_within_ms` waits for. The platform kills no earlier
-/// than the longest deadline, or this, plus 700 ms after SIGTERM.
+/// Upper bound in milliseconds for the class deadline from which the default of `stop_within_ms` is computed.
+/// The platform waits after SIGTERM for the longest class deadline, or for this bound if it is lower, plus
+/// 700 ms, and does not kill the process earlier.
 const MAX_DEADLINE_AT_SHUTDOWN_MS: u64 = 3_000;
-/// What the default of `stop_within_ms` adds to the longest deadline, in milliseconds.
+/// Time in milliseconds that the default of `stop_within_ms` adds to the longest class deadline.
 const SHUTDOWN_MARGIN_MS: u64 = 400;
 
-/// The keys of the object `transport`, in milliseconds, bytes or counts.
-const KEYS: [&str; 18] = [
+/// The keys of the object `transport`.
+const TRANSPORT_KEYS: [&str; 18] = [
     "unheard_parts",
     "first_ms",
     "frame_ms",
@@ -73,55 +76,59 @@
     "stop_within_ms",
 ];
 
-/// Timeouts and capacities of the sockets. Each has a key in the object `transport` of the configuration file.
+/// Timeouts and limits of the sockets. Each field has a key in the object `transport` of the configuration
+/// file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transport {
-    /// From accepting a client's connection to the last byte of its first request (`first_ms`).
+    /// Maximum time from accepting a client connection to the last byte of its first request (`first_ms`).
     pub first_request_timeout: Duration,
-    /// From the first byte of a request to its last (`request_ms`).
+    /// Maximum time from the first byte of a request to its last byte (`request_ms`).
     pub request_timeout: Duration,
-    /// How long a client's connection may be idle between requests (`client_idle_ms`).
+    /// Maximum time that a client connection may be idle between requests (`client_idle_ms`).
     pub client_idle_timeout: Duration,
-    /// How long a client may take to read an answer (`answer_write_ms`).
+    /// Maximum time for writing a response to a client, which depends on how fast the client reads it
+    /// (`answer_write_ms`).
     pub answer_write_timeout: Duration,
-    /// How long a connection that we close is read on, so that the last answer reaches its client (`linger_ms`).
+    /// Maximum duration of a lingering close: how long input is still read after the front node has closed
+    /// its side of a client connection, so that the client can receive the last response (`linger_ms`).
     pub linger: Duration,
-    /// From connecting to an index server until the connection is established (`connect_ms`).
+    /// Maximum time for establishing a connection to an index server (`connect_ms`).
     pub connect_timeout: Duration,
-    /// From the first byte of an index server's frame to its last (`frame_ms`).
+    /// Maximum time from the first byte of a frame from an index server to its last byte (`frame_ms`).
     pub frame_timeout: Duration,
-    /// How long a connection to an index server may be without traffic (`server_idle_ms`).
+    /// Maximum time without traffic on a connection to an index server (`server_idle_ms`).
     pub server_idle_timeout: Duration,
-    /// Parts in flight on one connection to an index server, at most (`streams`).
+    /// Maximum number of parts in flight on one connection to an index server (`streams`).
     pub max_streams: usize,
-    /// Bytes that may wait to be written on one connection to an index server (`server_backlog_bytes`).
+    /// Maximum number of bytes that wait to be written on one connection to an index server
+    /// (`server_backlog_bytes`).
     pub max_write_backlog: usize,
-    /// Parts cancelled in a row with nothing received between, after which a connection to an index server gets no
-    /// more calls (`unheard_parts`).
+    /// Number of consecutively cancelled parts, with nothing received in between, after which no more parts
+    /// are sent on a connection to an index server (`unheard_parts`).
     pub max_cancels_without_reply: usize,
-    /// Connections to index servers, at most (`server_connections`).
+    /// Maximum number of connections to index servers (`server_connections`).
     pub max_server_connections: usize,
-    /// Connections of clients, at most (`client_connections`).
+    /// Maximum number of client connections (`client_connections`).
     pub max_client_connections: usize,
-    /// From calling discovery to the first line of its answer (`discovery_answer_ms`).
+    /// Maximum time from connecting to discovery to the first line of its response (`discovery_answer_ms`).
     pub discovery_answer_timeout: Duration,
-    /// A watch that sends no complete line for this long is lost (`watch_silence_ms`).
+    /// Time without a complete line after which a watch is considered lost (`watch_silence_ms`).
     pub watch_silence_timeout: Duration,
-    /// Where the endpoint list is pushed, the delay before a lost watch is opened again (`watch_again_ms`).
+    /// Delay before a lost watch is reopened if discovery pushes the endpoint list (`watch_again_ms`).
     pub watch_retry_delay: Duration,
-    /// After SIGTERM, new connections are accepted for this long (`hand_over_ms`).
+    /// Time after SIGTERM during which new client connections are still accepted (`hand_over_ms`).
     pub handover_period: Duration,
-    /// From SIGTERM until every accepted query must have its answer (`stop_within_ms`).
+    /// Time after SIGTERM within which every accepted query must have its answer (`stop_within_ms`).
     pub shutdown_timeout: Duration,
 }
 
-/// The maximum numbers of connections, which share the descriptors.
+/// The maximum numbers of connections. Both kinds share the file descriptors of the process.
 struct ConnectionLimits {
     servers: usize,
     clients: usize,
 }
 
-/// Reads the values of the object `transport`. A value that is stated must be more than 0.
+/// Reads values of the object `transport`, all of which must be more than 0.
 struct TransportReader<'a>(&'a Value);
 
 impl TransportReader<'_> {
@@ -137,14 +144,15 @@
         self.count(name, default).map(Duration::from_millis)
     }
 
-    fn connection_limits(&self, sockets: usize) -> Parsed<ConnectionLimits> {
-        let available = sockets.saturating_sub(OTHER_DESCRIPTORS);
-        let default_servers = (available as u64 / DEFAULT_SERVER_SHARE).max(1);
+    fn connection_limits(&self, socket_limit: usize) -> Parsed<ConnectionLimits> {
+        let available = socket_limit.saturating_sub(RESERVED_DESCRIPTORS);
+        let default_servers = (available as u64 / DEFAULT_SERVER_DIVISOR).max(1);
         let servers = self.count("server_connections", default_servers)? as usize;
         let default_clients = available.saturating_sub(servers).max(1) as u64;
         let clients = self.count("client_connections", default_clients)? as usize;
         if servers + clients > available {
-            let problem = format!("leaves no room: limits.sockets is {sockets}");
+            let problem =
+                format!("plus server_connections exceeds what limits.sockets ({socket_limit}) allows");
             return Err(FieldError::new("client_connections", problem));
         }
         Ok(ConnectionLimits { servers, clients })
@@ -152,19 +160,24 @@
 }
 
 impl Transport {
-    /// Reads the object `transport` of the file (JSON `null` where it is absent) with defaults from the deployment's
-    /// settings; `sockets` is the number of descriptors that the process may hold.
+    /// Parses the object `transport` of the configuration file, or JSON `null` if the object is absent. Some
+    /// defaults come from the settings of the deployment. `socket_limit` is the number of file descriptors
+    /// that the process may hold.
     ///
     /// # Errors
-    ///
-    /// The key is unknown, its value no count or 0, or the connections together need more than `sockets`.
-    pub(super) fn read(object: &Value, deployment: &Deployment, sockets: usize) -> Parsed<Transport> {
+    /// A key is unknown, a value is not a count or is 0, or the connections need more than `socket_limit`
+    /// file descriptors.
+    pub(super) fn from_json(
+        object: &Value,
+        deployment: &Deployment,
+        socket_limit: usize,
+    ) -> Parsed<Transport> {
         check_keys(object)?;
         let reader = TransportReader(object);
-        let stated = &deployment.transport;
-        let connect_ms = stated.connect_timeout.map_or(DEFAULT_CONNECT_MS, whole_millis);
-        let streams = stated.streams_per_conn.map_or(DEFAULT_STREAMS, u64::from);
-        let limits = reader.connection_limits(sockets)?;
+        let settings = &deployment.transport;
+        let connect_ms = settings.connect_timeout.map_or(DEFAULT_CONNECT_MS, whole_millis);
+        let streams = settings.streams_per_conn.map_or(DEFAULT_STREAMS, u64::from);
+        let limits = reader.connection_limits(socket_limit)?;
         Ok(Transport {
             first_request_timeout: reader.millis("first_ms", DEFAULT_FIRST_REQUEST_MS)?,
             request_timeout: reader.millis("request_ms", DEFAULT_REQUEST_MS)?,
@@ -195,22 +208,26 @@
         }
         return Err(FieldError::new("", "is not an object"));
     };
-    match members.keys().find(|key| !KEYS.contains(&key.as_str())) {
+    match members.keys().find(|key| !TRANSPORT_KEYS.contains(&key.as_str())) {
         Some(key) => Err(FieldError::new(key, "is not known")),
         None => Ok(()),
     }
 }
 
+/// Converts to milliseconds, rounded down but at least 1.
 fn whole_millis(micros: Micros) -> u64 {
     (micros.0 / 1000).max(1) as u64
 }
 
-/// An index server closes at its own idle time at the latest; ours lies a fifth before it.
+/// Returns the default of `server_idle_ms`: four fifths of the idle timeout of the index servers, so that the
+/// front node closes an idle connection before the index server does.
 fn default_server_idle_ms(deployment: &Deployment) -> u64 {
-    let stated = deployment.transport.conn_idle;
-    stated.map_or(DEFAULT_SERVER_IDLE_MS, |idle| whole_millis(idle) * 4 / 5).max(1)
+    let server_timeout = deployment.transport.conn_idle;
+    server_timeout.map_or(DEFAULT_SERVER_IDLE_MS, |idle| whole_millis(idle) * 4 / 5).max(1)
 }
 
+/// Returns the default of `stop_within_ms`: the longest class deadline, bounded by
+/// [`MAX_DEADLINE_AT_SHUTDOWN_MS`], plus [`SHUTDOWN_MARGIN_MS`].
 fn default_shutdown_ms(deployment: &Deployment) -> u64 {
     let deadlines = deployment.settings.classes.iter().map(|class| whole_millis(class.deadline));
     let longest = deadlines.max().unwrap_or(MAX_DEADLINE_AT_SHUTDOWN_MS);
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a front node can't start or can't go on.
+//! Errors that prevent a front node from starting or from continuing.
 
 use pinetrestle_operator::FileError;
 use pinetrestle_protocol::names::WireNamesError;
@@ -8,68 +8,69 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit status of the program where one of its input files is missing or wrong.
+/// Exit status of the program if one of its input files is missing or invalid.
 const EXIT_BAD_INPUT: u8 = 2;
 
-/// An error that ends a front node. The message names the file, key or address at fault.
+/// An error that ends a front node. The message contains the file, key or address that caused the error.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The operating system did not provide what the async runtime needs, also after retries.
-    #[error("no runtime: {0}")]
+    /// The operating system did not provide the resources for the async runtime, even after retries.
+    #[error("can't start the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A file of names can't be read.
+    /// The file given by `--names` or `--words` can't be read.
     #[error("{}: can't be read: {source}", path.display())]
     NamesFileUnreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file of names is not JSON.
+    /// The file given by `--names` or `--words` is not JSON.
     #[error("{}: is not JSON: {source}", path.display())]
     NamesFileNotJson {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The syntax error with line and column.
+        /// The syntax error, with line and column.
         source: serde_json::Error,
     },
-    /// The file of names on the sockets has a value that is no name.
+    /// The file given by `--names` contains an invalid name.
     #[error("{}: {source}", path.display())]
     WireNames {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The key at fault.
+        /// The invalid key, and the problem.
         source: WireNamesError,
     },
-    /// The file of setting keys has a value that is no name.
+    /// The file given by `--words` contains an invalid name, or lacks the object `init`.
     #[error("{}: {source}", path.display())]
     SettingKeys {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The key at fault.
+        /// The invalid key, and the problem.
         source: FieldError,
     },
-    /// The configuration file is missing or wrong.
+    /// The configuration file is missing or invalid.
     #[error("configuration: {0}")]
     Configuration(#[source] FieldError),
-    /// The flight recorder's operator file is missing or wrong.
+    /// The operator file of the flight recorder is missing or invalid.
     #[error(transparent)]
     RecorderFile(FileError),
-    /// The address for clients could not be bound, also after retries.
+    /// The address for client connections could not be bound, even after retries.
     #[error("can't listen on {address}: {source}")]
     Listen {
-        /// The address of the configuration.
+        /// The address `listen` of the configuration.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The event loop has ended although it was not stopped: no query can be answered any more.
-    #[error("the event loop has ended")]
+    /// The event loop has ended without a request to stop. Queries can't be answered any more.
+    #[error("the event loop ended unexpectedly")]
     EventLoopEnded,
 }
 
 impl NodeError {
-    /// The status with which the program exits for this error: 2 for input files, 1 for anything else.
+    /// Returns the exit status of the program for this error: 2 for an invalid input file, 1 for other
+    /// errors.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             NodeError::NamesFileUnreadable { .. }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,17 +1,26 @@
-//! The front node on real sockets, as a library: embed it with [`serve`], or start the program, which does no more than
+//! The front node: a load balancer that answers queries of clients by sending the parts of each query to
+//! index servers. The decisions are made by the decision core, the crate `pinetrestle`. This crate connects
+//! the core to the network.
+//!
+//! The decision core calls an index server a *replica*. A *call* is one message to an index server; it
+//! carries one part or several.
+//!
+//! A program can embed a front node with [`serve()`]. The program `pinetrestle-node` only calls
 //! [`main_from_environment`].
 //!
-//! Everything runs on one thread, as tasks of one [`LocalSet`](tokio::task::LocalSet) that pass messages through
-//! bounded channels:
+//! All code runs on one thread, as tasks of one [`LocalSet`](tokio::task::LocalSet) that exchange messages
+//! through bounded channels:
 //!
-//! - `event_loop` owns the decision host ([`host::Host`], plain data around the decision core): it feeds the host with
-//!   the tasks' messages and executes its commands.
-//! - `clients` accepts connections of clients and drives each; `upstream` drives the connections to index servers;
-//!   `discovery` keeps a watch on the endpoint list.
-//! - `serve` starts these tasks and leads them through a graceful shutdown, whose phases are in `shutdown`; `reload`
-//!   puts new configuration files ([`config`]) in force; `program` adds command line, environment, signals and exit
-//!   status.
-//! - [`counters`], [`log`], [`flight_recorder`], `invariants` and [`close_reason`] tell an operator what happened.
+//! - `event_loop` owns the [`host::Host`], which wraps the decision core and does no I/O. It passes the
+//!   messages of the other tasks to the host and executes the commands that the host returns.
+//! - `clients` accepts and serves client connections.
+//! - `upstream` manages the connections to index servers.
+//! - `discovery` watches the endpoint list, from which the addresses of the index servers are known.
+//! - `serve` starts these tasks and performs a graceful shutdown. `shutdown` defines its phases.
+//! - `reload` puts new configuration files ([`config`]) in force.
+//! - `program` adds the command line, environment, signal handlers and exit status of the program.
+//! - [`counters`], [`log`], [`flight_recorder`], `invariants` and [`close_reason`] report to operators what
+//!   happened.
 
 #![warn(missing_docs)]
 
@@ -40,4 +49,4 @@
 pub use error::NodeError;
 pub use program::main_from_environment;
 pub use reload::ReloadReceiver;
-pub use serve::{serve, serve_reloading, ControlChannels};
+pub use serve::{serve, serve_with_control, ControlChannels};
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,7 +1,8 @@
-//! Logging: lines of `key=value` to standard output, written by a task of their own.
+//! Logging to standard output as lines of `key=value` pairs.
 //!
-//! A line is queued by the thread that logs it and written in batches by [`LogWriter::run`]. When the reader of
-//! standard output stalls, the bounded queue fills up; further lines are dropped and counted, and nothing blocks.
+//! Log calls put lines into a bounded queue and never block. The task [`LogWriter::run`] writes the queued
+//! lines to standard output in batches. When the reader of standard output stalls, the queue fills up, and
+//! further lines are dropped and counted.
 
 use crate::counters::Counters;
 use slog::{Drain, Key, OwnedKVList, Record, Serializer, KV};
@@ -14,16 +15,16 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::timeout;
 
-/// Lines that may wait to be written.
+/// Maximum number of lines that wait to be written.
 const QUEUE_CAPACITY: usize = 1024;
-/// Lines of one write at most.
+/// Maximum number of lines in one write.
 const MAX_LINES_PER_WRITE: usize = 64;
-/// How long a write waits for further lines.
+/// Time for which a write is delayed so that further lines can be added to the batch.
 const BATCH_WINDOW: Duration = Duration::from_millis(20);
-/// How long the end of the program waits for the last lines to be written.
+/// Time for which the program waits at its end for the last lines to be written.
 pub const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Puts each record as one line into the queue.
+/// Formats each record as one line and puts the line into the queue.
 struct QueueDrain {
     lines: mpsc::Sender<String>,
     dropped: Arc<AtomicU64>,
@@ -39,24 +40,24 @@
         let is_plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'=';
         let needs_no_quotes = !text.is_empty() && text.bytes().all(is_plain);
         let pair = if needs_no_quotes { format!(" {key}={text}") } else { format!(" {key}={text:?}") };
-        // slog hands the pairs out last first.
+        // slog emits the pairs in reverse order.
         self.0.insert_str(0, &pair);
         Ok(())
     }
 }
 
-/// The pairs as text. A value that can't be written is left out of the line.
-fn pairs_of(pairs: &impl KV, record: &Record<'_>) -> String {
+/// Formats pairs as text. A value that can't be serialized is left out of the line.
+fn format_pairs(pairs: &impl KV, record: &Record<'_>) -> String {
     let mut serializer = PairSerializer::default();
     let _ = pairs.serialize(record, &mut serializer);
     serializer.0
 }
 
-/// One line of the log: time, level, message, the logger's own pairs, the record's pairs.
+/// Formats one line of the log: time, level, message, the pairs of the logger, the pairs of the record.
 fn format_line(record: &Record<'_>, logger_pairs: &OwnedKVList) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let record_pairs = pairs_of(&record.kv(), record);
-    let logger_pairs = pairs_of(logger_pairs, record);
+    let record_pairs = format_pairs(&record.kv(), record);
+    let logger_pairs = format_pairs(logger_pairs, record);
     format!(
         "t={}.{:03} level={} msg={:?}{}{}\n",
         now.as_secs(),
@@ -87,7 +88,8 @@
     dropped: Arc<AtomicU64>,
 }
 
-/// A logger whose lines name the front node, and the writer that has to run for its lines to be written.
+/// Creates a logger that adds the name of the front node to each line, and the writer of its lines. Nothing
+/// is written until [`LogWriter::run`] is called.
 pub fn logger(node_name: &str) -> (slog::Logger, LogWriter) {
     let (sender, lines) = mpsc::channel(QUEUE_CAPACITY);
     let dropped = Arc::new(AtomicU64::new(0));
@@ -97,7 +99,7 @@
 }
 
 impl LogWriter {
-    /// Writes lines until `end` is notified and the queue is empty, or until all loggers are gone.
+    /// Writes queued lines until `end` is notified and the queue is empty, or until all loggers are dropped.
     pub async fn run(mut self, counters: Rc<Counters>, end: Rc<Notify>) {
         let mut output = tokio::io::stdout();
         let mut batch = Vec::new();
@@ -110,7 +112,8 @@
                     () = end.notified() => ending = true,
                 }
             }
-            // Under a flood of connections, each of which logs a line, one write per line would wake two threads each.
+            // Waits for further lines. Each write wakes two threads, which is too expensive for single lines
+            // during a flood of connections, each of which logs one line.
             ending = ending || timeout(BATCH_WINDOW, end.notified()).await.is_ok();
             self.fill(&mut batch);
             if ending && batch.is_empty() {
@@ -119,14 +122,14 @@
             let text = batch.concat();
             batch.clear();
             counters.node.log_lines_dropped.add(self.dropped.swap(0, Ordering::Relaxed));
-            // If standard output is closed, the lines are lost and the front node serves on.
+            // If standard output is closed, the lines are lost and the front node continues to serve.
             if output.write_all(text.as_bytes()).await.is_ok() {
                 let _ = output.flush().await;
             }
         }
     }
 
-    /// Takes lines that are queued already, up to the size of one write.
+    /// Fills the batch with lines that are already queued, up to [`MAX_LINES_PER_WRITE`].
     fn fill(&mut self, batch: &mut Vec<String>) {
         while batch.len() < MAX_LINES_PER_WRITE {
             let Ok(line) = self.lines.try_recv() else { break };
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,5 @@
-//! The front node as a program: reads its configuration, serves until it is told to stop.
+//! The program `pinetrestle-node`: reads its configuration and runs the front node until it receives SIGTERM
+//! or SIGINT.
 
 fn main() -> std::process::ExitCode {
     pinetrestle_node::main_from_environment()
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! The program `pinetrestle-node`: command line, environment, signals, log and exit status.
+//! The program `pinetrestle-node`: command line, environment, signal handlers, log and exit status.
 
 use crate::arguments::Arguments;
 use crate::config::{Config, DeploymentNames};
@@ -6,8 +6,8 @@
 use crate::error::NodeError;
 use crate::flight_recorder::{forward_write_signal, RecorderSettings};
 use crate::log::{logger, FINAL_FLUSH_TIMEOUT};
-use crate::reload::{install_reload_signal, read_config_file, read_file_at_signals};
-use crate::serve::{serve_reloading, ControlChannels};
+use crate::reload::{install_reload_handler, read_config_file, read_config_on_signal};
+use crate::serve::{serve_with_control, ControlChannels};
 use crate::shutdown::TerminationSignals;
 use clap::Parser;
 use pinetrestle_system_calls::{is_transient_local_error, STARTUP_TIMEOUT};
@@ -22,30 +22,35 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{timeout, Instant};
 
-/// The delay between two attempts to build the runtime.
+/// Delay between two attempts to build the runtime.
 const RUNTIME_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The whole program: configuration from the environment, log on standard output, SIGHUP to reload the configuration,
-/// SIGUSR1 to write the flight recorder's ring out, SIGTERM to stop.
+/// Runs the program and returns its exit status.
+///
+/// The configuration file is found through the environment variable `RELAY_CONFIG`. The log is written to
+/// standard output. SIGHUP reloads the configuration, SIGUSR1 writes out the ring buffer of the flight
+/// recorder, and SIGTERM or SIGINT stops the program gracefully.
 pub fn main_from_environment() -> ExitCode {
     let arguments = Arguments::parse();
     let runtime = match build_runtime() {
         Ok(runtime) => runtime,
-        Err(error) => return report(&error),
+        Err(error) => return report_startup_error(&error),
     };
     let code = LocalSet::new().block_on(&runtime, run(arguments));
-    // A reader of the log that has stalled must not delay the exit.
+    // Doesn't wait for a blocked write to standard output: a log reader that has stalled must not delay the
+    // exit.
     runtime.shutdown_background();
     code
 }
 
-/// Prints an error that comes before there is a log, and returns the exit status for it.
-fn report(error: &NodeError) -> ExitCode {
+/// Prints an error that occurs before logging is set up, and returns the exit status for it.
+fn report_startup_error(error: &NodeError) -> ExitCode {
     eprintln!("pinetrestle-node: {error}");
     error.exit_code()
 }
 
-/// Builds the runtime, retrying for [`STARTUP_TIMEOUT`] while the machine lacks descriptors or memory for it.
+/// Builds the async runtime. Retries for [`STARTUP_TIMEOUT`] while this machine lacks file descriptors or
+/// memory.
 fn build_runtime() -> Result<Runtime, NodeError> {
     let deadline = Instant::now() + STARTUP_TIMEOUT;
     loop {
@@ -58,30 +63,30 @@
     }
 }
 
-/// The signals of the program. All are caught before anything else is done: none may end the program by its default
-/// action.
-struct Signals {
+/// The signal handlers of the program. They are installed before anything else is done, so that none of the
+/// signals terminates the process by its default action.
+struct SignalHandlers {
     reload: io::Result<Signal>,
     termination: io::Result<TerminationSignals>,
-    /// Notified at SIGUSR1.
+    /// Notified on SIGUSR1.
     write_records: Rc<Notify>,
 }
 
-impl Signals {
-    fn install() -> Signals {
-        let reload = install_reload_signal();
+impl SignalHandlers {
+    fn install() -> SignalHandlers {
+        let reload = install_reload_handler();
         let termination = TerminationSignals::install();
         let write_records: Rc<Notify> = Rc::default();
         spawn_local(forward_write_signal(write_records.clone()));
-        Signals { reload, termination, write_records }
+        SignalHandlers { reload, termination, write_records }
     }
 }
 
 async fn run(arguments: Arguments) -> ExitCode {
-    let signals = Signals::install();
+    let signals = SignalHandlers::install();
     let config = match read_configuration(&arguments).await {
         Ok(config) => config,
-        Err(error) => return report(&error),
+        Err(error) => return report_startup_error(&error),
     };
     let counters = Rc::new(Counters::new(&config.deployment.classes));
     let (log, writer) = logger(&config.name);
@@ -89,16 +94,18 @@
     let log_writer = spawn_local(writer.run(counters.clone(), end_of_log.clone()));
     let code = serve_and_log(config, signals, &log, counters).await;
     end_of_log.notify_one();
-    // A reader that has stalled gets no more than this.
+    // If the log reader has stalled, the remaining lines are lost.
     let _ = timeout(FINAL_FLUSH_TIMEOUT, log_writer).await;
     code
 }
 
-/// Reads the configuration and the files that the command line names.
+/// Reads the configuration file and the files given on the command line.
 async fn read_configuration(arguments: &Arguments) -> Result<Config, NodeError> {
     let names = DeploymentNames::from_files(arguments.names.as_deref(), arguments.settings_names.as_deref())?;
     let file = read_config_file(STARTUP_TIMEOUT).await;
-    let mut config = file.and_then(|file| Config::read(&file, &names)).map_err(NodeError::Configuration)?;
+    let mut config = file
+        .and_then(|file| Config::from_json_with_names(&file, &names))
+        .map_err(NodeError::Configuration)?;
     if let Some(path) = &arguments.recorder {
         config.recorder =
             pinetrestle_operator::read::<RecorderSettings>(path).map_err(NodeError::RecorderFile)?;
@@ -106,30 +113,36 @@
     Ok(config)
 }
 
-/// Serves until a termination signal and logs how it went.
-async fn serve_and_log(config: Config, signals: Signals, log: &Logger, counters: Rc<Counters>) -> ExitCode {
-    let Signals { reload, termination, write_records } = signals;
+/// Serves until a termination signal is received. Logs the final counters, or the error that ended the front
+/// node.
+async fn serve_and_log(
+    config: Config,
+    signals: SignalHandlers,
+    log: &Logger,
+    counters: Rc<Counters>,
+) -> ExitCode {
+    let SignalHandlers { reload, termination, write_records } = signals;
     let address = config.listen;
     let (files, reloads) = mpsc::channel(1);
     match reload {
-        Ok(signal) => drop(spawn_local(read_file_at_signals(signal, files))),
-        Err(error) => warn!(log, "SIGHUP can't be handled"; "error" => %error),
+        Ok(signal) => drop(spawn_local(read_config_on_signal(signal, files))),
+        Err(error) => warn!(log, "can't handle SIGHUP; configuration reload is disabled"; "error" => %error),
     }
     let stop = async {
         match termination {
             Ok(signals) => signals.received().await,
-            // Without signals the front node serves until it is killed.
+            // Without signal handlers the front node serves until it is killed.
             Err(_) => std::future::pending().await,
         }
     };
     let control = ControlChannels { reloads, write_records };
-    match serve_reloading(config, control, log.clone(), counters.clone(), stop).await {
+    match serve_with_control(config, control, log.clone(), counters.clone(), stop).await {
         Ok(()) => {
             info!(log, "counters"; "at" => "exit", "all" => counters.report().to_string());
             ExitCode::SUCCESS
         }
         Err(error) => {
-            error!(log, "can't serve"; "listen" => %address, "error" => %error);
+            error!(log, "front node stopped because of an error"; "listen" => %address, "error" => %error);
             error.exit_code()
         }
     }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Configuration reload at SIGHUP: a new file is taken as a whole or not at all.
+//! Configuration reload on SIGHUP. The new configuration is applied as a whole, or rejected as a whole.
 
 use crate::config::{file, LiveConfig, Revision};
 use crate::counters::Counters;
@@ -12,29 +12,28 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, Instant};
 
-/// How long reading a file at SIGHUP is retried while this machine can't read it. The signal comes once: descriptors
-/// that have run out must not lose it.
+/// Time for which reading the file is retried after SIGHUP if this machine temporarily can't read it. The
+/// signal is sent only once, so a temporary lack of file descriptors must not make the reload fail.
 const RELOAD_READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// The delay between two attempts to read the file.
+/// Delay between two attempts to read the file.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Receives configuration files as they are read: the JSON value of the file, or why there is none.
+/// Receives each configuration file that was read for a reload: its JSON value, or the error of reading it.
 pub type ReloadReceiver = mpsc::Receiver<Parsed<Value>>;
 
-/// Catches SIGHUP. From here on it doesn't end the program.
+/// Installs the handler of SIGHUP. From then on SIGHUP doesn't terminate the process.
 ///
 /// # Errors
-///
-/// The system doesn't let this process handle the signal.
-pub(crate) fn install_reload_signal() -> std::io::Result<Signal> {
+/// The operating system doesn't allow this process to handle the signal.
+pub(crate) fn install_reload_handler() -> std::io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Reads the file that the environment names. Errors of this machine, not of the file, are retried for `timeout`.
+/// Reads the configuration file at the path in `RELAY_CONFIG`. Retries for `timeout` if this machine
+/// temporarily can't read files.
 ///
 /// # Errors
-///
-/// `RELAY_CONFIG` is not set, or its file can't be read or is not JSON.
+/// `RELAY_CONFIG` is not set, or the file can't be read or is not JSON.
 pub(crate) async fn read_config_file(timeout: Duration) -> Parsed<Value> {
     let path = file::path_from_environment()?;
     let deadline = Instant::now() + timeout;
@@ -50,9 +49,9 @@
     is_transient_local_error(error) || is_transient_disk_error(error)
 }
 
-/// Reads the file at each SIGHUP and passes it on, until the receiver is closed. Signals that come while one is
-/// handled count as one.
-pub(crate) async fn read_file_at_signals(mut signals: Signal, files: mpsc::Sender<Parsed<Value>>) {
+/// Reads the configuration file on each SIGHUP and sends it to `files`, until the receiver is closed. Signals
+/// that are received while the file is read cause one further read.
+pub(crate) async fn read_config_on_signal(mut signals: Signal, files: mpsc::Sender<Parsed<Value>>) {
     while signals.recv().await.is_some() {
         let file = read_config_file(RELOAD_READ_TIMEOUT).await;
         if files.send(file).await.is_err() {
@@ -61,20 +60,21 @@
     }
 }
 
-/// Puts each file in force that passes all checks; after any other the configuration in force stays.
+/// Puts each valid configuration file in force. After an invalid one the current configuration stays in
+/// force.
 pub(crate) struct Reloader {
     /// The configuration in force.
     pub(crate) live_config: Rc<LiveConfig>,
-    /// Notified when a file names another address of discovery.
-    pub(crate) discovery_moved: Rc<Notify>,
-    /// Counts reloads, taken and refused.
+    /// Notified when a reload changes the address of discovery.
+    pub(crate) discovery_address_changed: Rc<Notify>,
+    /// Counts applied and rejected reloads.
     pub(crate) counters: Rc<Counters>,
-    /// Logs one line a reload.
+    /// Logs one line per reload.
     pub(crate) log: Logger,
 }
 
 impl Reloader {
-    /// Handles files until no more can come.
+    /// Applies files until the sender is dropped.
     pub(crate) async fn run(self, mut files: ReloadReceiver) {
         while let Some(file) = files.recv().await {
             let current = self.live_config.get();
@@ -92,10 +92,10 @@
             "clients" => config.transport.max_client_connections,
             "servers" => config.transport.max_server_connections,
             "needs_restart" => needs_restart.join(","));
-        let discovery_moved = config.discovery != self.live_config.get().discovery;
+        let discovery_address_changed = config.discovery != self.live_config.get().discovery;
         self.live_config.replace(config);
-        if discovery_moved {
-            self.discovery_moved.notify_one();
+        if discovery_address_changed {
+            self.discovery_address_changed.notify_one();
         }
     }
 
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,5 +1,5 @@
-//! A front node from its start to the end of its graceful shutdown: starts the tasks, waits for the request to stop,
-//! and lets them finish.
+//! The lifecycle of a front node: starts its tasks, waits for the request to stop, and performs a graceful
+//! shutdown.
 
 use crate::clients::{accept_connections, ClientContext, ClientServices};
 use crate::config::{Config, LiveConfig};
@@ -30,26 +30,26 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Messages that may wait for the event loop; a task with one more waits.
+/// Capacity of the message channel to the event loop. While the channel is full, senders wait.
 const MESSAGE_CAPACITY: usize = 1024;
-/// How long after the shutdown timeout the ends of clients' connections are still waited for.
+/// Time after the shutdown deadline for which the front node still waits for client connections to close.
 const LAST_CONNECTIONS_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Channels that control a front node while it serves.
+/// Inputs that control a front node while it serves.
 pub struct ControlChannels {
-    /// New configuration files.
+    /// Configuration files to reload.
     pub reloads: ReloadReceiver,
-    /// Notified to have the flight recorder's ring written out.
+    /// Notify this to write out the ring buffer of the flight recorder.
     pub write_records: Rc<Notify>,
 }
 
-/// Serves until `stop` completes, then shuts down gracefully: hands over, answers what was admitted, and returns.
+/// Serves until `stop` completes, then shuts down gracefully: still accepts new connections for a while,
+/// answers the admitted queries, and returns.
 ///
-/// Must run within a [`LocalSet`](tokio::task::LocalSet) on a runtime with all drivers enabled.
+/// Must be called within a [`LocalSet`](tokio::task::LocalSet) on a runtime with all drivers enabled.
 ///
 /// # Errors
-///
-/// [`NodeError::Listen`], or [`NodeError::EventLoopEnded`].
+/// [`NodeError::Listen`] or [`NodeError::EventLoopEnded`].
 pub async fn serve(
     config: Config,
     log: Logger,
@@ -58,15 +58,15 @@
 ) -> Result<(), NodeError> {
     let (_closed, reloads) = mpsc::channel(1);
     let control = ControlChannels { reloads, write_records: Rc::default() };
-    serve_reloading(config, control, log, counters, stop).await
+    serve_with_control(config, control, log, counters, stop).await
 }
 
-/// The same as [`serve`], with new configurations taken and records written out while it serves.
+/// Like [`serve`], but also reloads the configuration and writes out flight records as requested through
+/// `control`.
 ///
 /// # Errors
-///
-/// As [`serve`].
-pub async fn serve_reloading(
+/// The same errors as [`serve`].
+pub async fn serve_with_control(
     config: Config,
     control: ControlChannels,
     log: Logger,
@@ -74,21 +74,21 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), NodeError> {
     let address = config.listen;
-    let not_bound = |source| NodeError::Listen { address, source };
-    let listener = bind_listener(address).await.map_err(not_bound)?;
-    let bound_to = listener.local_addr().map_err(not_bound)?;
+    let listen_error = |source| NodeError::Listen { address, source };
+    let listener = bind_listener(address).await.map_err(listen_error)?;
+    let local_address = listener.local_addr().map_err(listen_error)?;
     let mut node = RunningNode::start(config, control, log, counters, listener);
-    node.log_serving(bound_to);
+    node.log_serving(local_address);
     tokio::select! {
         () = stop => {}
-        // Without its event loop the node could only fail every query: it is better to exit and be restarted.
+        // Without the event loop every query would fail. The node ends so that the platform restarts it.
         _ = &mut node.event_loop => return Err(NodeError::EventLoopEnded),
     }
     node.shut_down().await;
     Ok(())
 }
 
-/// What all tasks of one front node share.
+/// State shared by all tasks of one front node.
 struct Shared {
     live_config: Rc<LiveConfig>,
     counters: Rc<Counters>,
@@ -97,20 +97,20 @@
     recorder: Rc<Recorder>,
     invariants: Rc<Invariants>,
     pause_detector: Rc<PauseDetector>,
-    /// Whether the front node can serve queries; set by the event loop.
+    /// Whether the front node can serve queries. Set by the event loop.
     ready: Rc<Cell<bool>>,
-    /// When the host's clock stood at 0.
+    /// The origin of the host's clock: the time at which it shows 0.
     start: Instant,
 }
 
 /// A front node whose tasks have been started.
 struct RunningNode {
     shared: Shared,
-    records: Rc<RingWriter>,
+    ring_writer: Rc<RingWriter>,
     clients: Rc<ClientContext>,
     phase: watch::Sender<ShutdownPhase>,
     event_loop: JoinHandle<()>,
-    listening: JoinHandle<()>,
+    accept_loop: JoinHandle<()>,
 }
 
 impl RunningNode {
@@ -126,10 +126,10 @@
         let (to_event_loop, inbox) = mpsc::channel(MESSAGE_CAPACITY);
         let (watch_requests, requested_watches) = mpsc::channel(1);
         let (phase, phases) = watch::channel(ShutdownPhase::Serving);
-        let discovery_moved = Rc::new(Notify::new());
+        let discovery_address_changed = Rc::new(Notify::new());
 
         let recorder = Rc::new(Recorder::new(config.recorder.records));
-        let records = start_records_writer(&config, &recorder, &log, control.write_records);
+        let ring_writer = start_ring_writer(&config, &recorder, &log, control.write_records);
         let host = new_host(&config, counters.clone());
         let watches = new_watches(&config);
         let shared = Shared {
@@ -143,23 +143,23 @@
             recorder,
             start,
         };
-        shared.start_discovery(watches, requested_watches, discovery_moved.clone());
+        shared.start_discovery(watches, requested_watches, discovery_address_changed.clone());
         let event_loop = shared.start_event_loop(host, inbox, watch_requests);
         spawn_local(shared.pause_detector.clone().run(shared.recorder.clone()));
         let clients = Rc::new(shared.new_client_context());
-        let listening = spawn_local(accept_connections(clients.clone(), listener, phases));
-        shared.start_reloader(control.reloads, discovery_moved);
-        RunningNode { shared, records, clients, phase, event_loop, listening }
+        let accept_loop = spawn_local(accept_connections(clients.clone(), listener, phases));
+        shared.start_reloader(control.reloads, discovery_address_changed);
+        RunningNode { shared, ring_writer, clients, phase, event_loop, accept_loop }
     }
 
-    fn log_serving(&self, bound_to: SocketAddr) {
+    fn log_serving(&self, local_address: SocketAddr) {
         let config = self.shared.live_config.get();
-        info!(self.shared.log, "serving"; "listen" => %bound_to, "discovery" => %config.discovery,
+        info!(self.shared.log, "serving"; "listen" => %local_address, "discovery" => %config.discovery,
             "clients" => config.transport.max_client_connections,
             "servers" => config.transport.max_server_connections);
     }
 
-    /// Goes through the phases of a graceful shutdown and returns when it is over.
+    /// Performs a graceful shutdown, phase by phase.
     async fn shut_down(self) {
         let requested_at = Instant::now();
         let transport = self.shared.live_config.get().transport.clone();
@@ -167,18 +167,19 @@
         let connections = &self.shared.counters.connections;
         info!(self.shared.log, "stopping"; "open" => connections.clients_open.get());
         self.clients.begin_shutdown(deadline);
-        // These receivers are gone only if their tasks have failed; then there is nothing to hand over.
+        // Sending fails only if the receiving tasks have ended. Then there is nothing left to shut down.
         let _ = self.shared.to_event_loop.send(Message::Shutdown { deadline }).await;
         let _ = self.phase.send(ShutdownPhase::HandingOver);
         sleep_until(requested_at + transport.handover_period).await;
         let _ = self.phase.send(ShutdownPhase::Closing);
-        let _ = timeout(deadline.duration_since(Instant::now()), self.listening).await;
-        let last = deadline + LAST_CONNECTIONS_TIMEOUT;
-        while connections.clients_open.get() > 0 && Instant::now() < last {
-            // The bound is for clients that don't read their answers.
-            let _ = timeout(last.duration_since(Instant::now()), self.clients.connection_closed()).await;
+        let _ = timeout(deadline.duration_since(Instant::now()), self.accept_loop).await;
+        let last_deadline = deadline + LAST_CONNECTIONS_TIMEOUT;
+        while connections.clients_open.get() > 0 && Instant::now() < last_deadline {
+            // Clients that don't read their answers must not delay the exit beyond this deadline.
+            let remaining = last_deadline.duration_since(Instant::now());
+            let _ = timeout(remaining, self.clients.connection_closed()).await;
         }
-        self.records.write_at_exit().await;
+        self.ring_writer.write_at_exit().await;
     }
 }
 
@@ -187,11 +188,11 @@
         &self,
         watches: WatchSupervisor<SocketAddr>,
         requested_watches: mpsc::Receiver<()>,
-        moved: Rc<Notify>,
+        address_changed: Rc<Notify>,
     ) {
         let discovery = DiscoveryTask {
             live_config: self.live_config.clone(),
-            moved,
+            moved: address_changed,
             watches,
             counters: self.counters.clone(),
             to_event_loop: self.to_event_loop.clone(),
@@ -246,10 +247,10 @@
         })
     }
 
-    fn start_reloader(&self, reloads: ReloadReceiver, discovery_moved: Rc<Notify>) {
+    fn start_reloader(&self, reloads: ReloadReceiver, discovery_address_changed: Rc<Notify>) {
         let reloader = Reloader {
             live_config: self.live_config.clone(),
-            discovery_moved,
+            discovery_address_changed,
             counters: self.counters.clone(),
             log: self.log.clone(),
         };
@@ -257,25 +258,25 @@
     }
 }
 
-/// Starts the task that writes the flight recorder's ring out, where the recorder is on.
-fn start_records_writer(
+/// Creates the writer of the flight recorder's ring buffer, and starts its task if the recorder is enabled.
+fn start_ring_writer(
     config: &Config,
     recorder: &Rc<Recorder>,
     log: &Logger,
     write_records: Rc<Notify>,
 ) -> Rc<RingWriter> {
-    let records = Rc::new(RingWriter {
+    let ring_writer = Rc::new(RingWriter {
         settings: config.recorder.clone(),
         recorder: recorder.clone(),
         log: log.clone(),
     });
     if recorder.is_enabled() {
-        spawn_local(records.clone().run(write_records));
+        spawn_local(ring_writer.clone().run(write_records));
     }
-    records
+    ring_writer
 }
 
-/// A host that knows the endpoint list as it was last known before the start.
+/// Creates a host with the initial endpoint list of the configuration, which may be stale.
 fn new_host(config: &Config, counters: Rc<Counters>) -> Host {
     let deployment = Rc::new(config.deployment.clone());
     let host = Host::new(deployment, counters, config.seed, Micros(0));
@@ -284,6 +285,7 @@
     host
 }
 
+/// Creates the state of the discovery watches.
 fn new_watches(config: &Config) -> WatchSupervisor<SocketAddr> {
     let pushed = !config.deployment.settings.poll_endpoint_list;
     WatchSupervisor::new(pushed, config.discovery, config.initial_list.version)
