--- a/crates/node/src/arguments.rs
+++ b/crates/node/src/arguments.rs
@@ -11,7 +11,7 @@
     #[arg(long, value_name = "FILE")]
     pub(crate) recorder: Option<PathBuf>,
     /// Names file (JSON) with the deployment's header fields, paths, JSON keys and frame letters. Names that
-    /// are not in the file, or all names without it, are those of the protocol page.
+    /// it does not contain have the defaults of the protocol page.
     #[arg(long, value_name = "FILE")]
     pub(crate) names: Option<PathBuf>,
     /// Wire description (JSON) whose object `init` contains the deployment's names of settings keys. Without
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -66,8 +66,8 @@
     /// Reads one request and writes its response.
     ///
     /// # Errors
-    /// The reason to close the connection. A response that was due has been written before, unless the reason
-    /// is a failure of the connection or a disconnect of the client.
+    /// The reason to close the connection. If a request was read, its response has been written by then,
+    /// unless the client disconnected or the socket failed.
     async fn serve_request(&mut self) -> Result<(), CloseReason> {
         let began_at = self.read_request().await?;
         let received_at = self.socket.request_received_at(began_at);
--- a/crates/node/src/clients/listener.rs
+++ b/crates/node/src/clients/listener.rs
@@ -36,6 +36,7 @@
         .await;
 }
 
+/// The state of the accept loop.
 struct Listener {
     context: Rc<ClientContext>,
     listener: TcpListener,
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -38,7 +38,7 @@
 /// Size in bytes of the shared read buffer, and therefore the maximum size of one read.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The parts of the front node that client connections use.
+/// The shared services of the front node that client connections use.
 pub(crate) struct ClientServices {
     /// The configuration in force.
     pub(crate) live_config: Rc<LiveConfig>,
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -107,8 +107,8 @@
 
     /// Parses a file that is reloaded while this configuration is in force.
     ///
-    /// The new configuration keeps the settings of the deployment of this one, because open queries and
-    /// attempts have been counted according to them.
+    /// The object `settings` of this configuration stays in force even if the file changes it, because open
+    /// queries and attempts have been counted according to these settings.
     ///
     /// # Errors
     /// The same errors as [`Config::from_json_with_names`]. The file is also rejected if it changes `name` or
--- a/crates/node/src/config/transport.rs
+++ b/crates/node/src/config/transport.rs
@@ -54,7 +54,8 @@
 /// Time in milliseconds that the default of `stop_within_ms` adds to the longest class deadline.
 const SHUTDOWN_MARGIN_MS: u64 = 400;
 
-/// The keys of the object `transport`.
+/// The keys of the object `transport`. A value is in milliseconds if its key ends in `_ms`, in bytes if its
+/// key ends in `_bytes`, and a count otherwise.
 const TRANSPORT_KEYS: [&str; 18] = [
     "unheard_parts",
     "first_ms",
