--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -1,33 +1,34 @@
 //! Floods of connections, slow senders and slow readers: capacity is bounded, and other clients are served.
 
-#[path = "common/stage.rs"]
-mod stage;
+#[path = "common/deployment.rs"]
+mod deployment;
 
+use deployment::Deployment;
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, query, Client, Discovery, FrontNode, Server,
     ServerBehavior,
 };
 use serde_json::json;
-use stage::Stage;
 
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
 
 #[test]
 fn a_flood_of_connections_prevents_no_answer() {
-    let mut stage = Stage::with(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
+    let mut deployment =
+        Deployment::with(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
     let max_clients = 64 - 24 - 13;
-    let mut flood: Vec<Client> = (0..max_clients * 3).map(|_| stage.client()).collect();
-    let mut client = stage.client();
+    let mut flood: Vec<Client> = (0..max_clients * 3).map(|_| deployment.client()).collect();
+    let mut client = deployment.client();
     for _ in 0..3 {
         assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).1).status, 200);
     }
-    assert!(stage.program.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
+    assert!(deployment.program.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
     eventually("the longest idle connections were evicted", || {
-        stage.program.close_reasons("client").iter().any(|reason| reason == "made_room")
+        deployment.program.close_reasons("client").iter().any(|reason| reason == "made_room")
     });
     assert!(flood.first_mut().expect("one").is_closed());
-    assert!(stage.program.is_running());
-    assert_eq!(stage.program.stats()["connections"]["accept_failed"], 0);
+    assert!(deployment.program.is_running());
+    assert_eq!(deployment.program.stats()["connections"]["accept_failed"], 0);
 }
 
 #[test]
@@ -49,45 +50,46 @@
 
 #[test]
 fn slow_senders_time_out_and_delay_no_other_client() {
-    let stage =
-        Stage::with(&ServerBehavior::Serving, |config| config["transport"] = json!({"request_ms": 300}));
-    let mut slow = stage.client();
+    let deployment =
+        Deployment::with(&ServerBehavior::Serving, |config| config["transport"] = json!({"request_ms": 300}));
+    let mut slow = deployment.client();
     slow.write(b"POST /all HTTP/1.1\r\nContent-Le");
-    assert_eq!(stage.client().send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
     assert_eq!(slow.read().status, 408);
     assert!(slow.is_closed());
     eventually("the close is logged", || {
-        stage.program.close_reasons("client").contains(&"request_timeout".to_owned())
+        deployment.program.close_reasons("client").contains(&"request_timeout".to_owned())
     });
 }
 
 #[test]
 fn many_slow_bodies_stay_within_bounded_memory() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     let part = format!("POST /all HTTP/1.1\r\nContent-Length: 65000\r\n\r\n{}", " ".repeat(60_000));
-    let mut slow: Vec<Client> = (0..300).map(|_| stage.client()).collect();
+    let mut slow: Vec<Client> = (0..300).map(|_| deployment.client()).collect();
     for client in &mut slow {
         client.write(part.as_bytes());
     }
     eventually("all of it is read", || {
-        stage.program.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
+        deployment.program.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
     });
-    assert_eq!(stage.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
-    let peak = stage.program.peak_memory_kb();
+    assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
+    let peak = deployment.program.peak_memory_kb();
     assert!(peak < 64 * 1024, "{peak} kB for 18 MB of bodies");
 }
 
 #[test]
 fn a_client_that_reads_no_responses_is_closed() {
-    let stage =
-        Stage::with(&ServerBehavior::Serving, |config| config["transport"] = json!({"answer_write_ms": 200}));
-    let mut unread = stage.client();
+    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
+        config["transport"] = json!({"answer_write_ms": 200})
+    });
+    let mut unread = deployment.client();
     // More answers than the kernel's buffers hold.
     unread.write("GET /stats HTTP/1.1\r\n\r\n".repeat(8000).as_bytes());
     eventually("it is closed", || {
-        stage.program.close_reasons("client").contains(&"write_stalled".to_owned())
+        deployment.program.close_reasons("client").contains(&"write_stalled".to_owned())
     });
-    assert_eq!(stage.client().send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
 }
 
 #[test]
--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -41,31 +41,31 @@
     }
 }
 
-fn stage_with(doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
-    SmallDeployment::start(NODE, doing, change)
+fn start_with(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
+    SmallDeployment::start(NODE, behavior, change)
 }
 
 /// The query is over for the front node, and no further part is sent in the time that a next step would take.
-fn assert_over_after(stage: &SmallDeployment, parts_sent: usize) {
+fn assert_over_after(deployment: &SmallDeployment, parts_sent: usize) {
     eventually("no query is in flight", || {
-        let stats = stage.program.stats();
+        let stats = deployment.program.stats();
         let classes = stats["queries"].as_object().expect("classes").values();
         classes.map(|class| class["held"].as_u64().expect("a count")).sum::<u64>() == 0
     });
     thread::sleep(ms(150));
-    assert_eq!(stage.received(), parts_sent, "nothing is sent for a client that has disconnected");
+    assert_eq!(deployment.received(), parts_sent, "nothing is sent for a client that has disconnected");
 }
 
 #[test]
 fn disconnect_before_the_first_attempt_sends_nothing() {
     for how in ALL_DISCONNECTS {
-        let stage = stage_with(&ServerBehavior::Serving, |_| {});
-        stage.program.pause();
-        let mut client = stage.client();
+        let deployment = start_with(&ServerBehavior::Serving, |_| {});
+        deployment.program.pause();
+        let mut client = deployment.client();
         client.write(query("all", &[0, 1], 2000).1.as_bytes());
         let kept = disconnect(client, how);
-        stage.program.resume();
-        assert_over_after(&stage, 0);
+        deployment.program.resume();
+        assert_over_after(&deployment, 0);
         drop(kept);
     }
 }
@@ -73,15 +73,15 @@
 #[test]
 fn disconnect_between_a_failure_and_its_retry_prevents_the_retry() {
     for how in ALL_DISCONNECTS {
-        let stage = stage_with(&ServerBehavior::FailingAfter(ms(200)), |_| {});
-        let mut client = stage.client();
+        let deployment = start_with(&ServerBehavior::FailingAfter(ms(200)), |_| {});
+        let mut client = deployment.client();
         client.write(query("all", &[0], 2000).1.as_bytes());
-        eventually("its part is in flight", || stage.received() == 1);
-        stage.program.pause();
+        eventually("its part is in flight", || deployment.received() == 1);
+        deployment.program.pause();
         let kept = disconnect(client, how);
         thread::sleep(ms(300)); // the error is there too when it resumes
-        stage.program.resume();
-        assert_over_after(&stage, 1);
+        deployment.program.resume();
+        assert_over_after(&deployment, 1);
         drop(kept);
     }
 }
@@ -89,15 +89,15 @@
 #[test]
 fn disconnect_before_the_second_step_prevents_it() {
     for how in ALL_DISCONNECTS {
-        let stage = stage_with(&ServerBehavior::ServingAfter(ms(200)), |_| {});
-        let mut client = stage.client();
+        let deployment = start_with(&ServerBehavior::ServingAfter(ms(200)), |_| {});
+        let mut client = deployment.client();
         client.write(query("steps", &[0, 1, 2], 2000).1.as_bytes());
-        eventually("its parts are in flight", || stage.received() == 3);
-        stage.program.pause();
+        eventually("its parts are in flight", || deployment.received() == 3);
+        deployment.program.pause();
         let kept = disconnect(client, how);
         thread::sleep(ms(300)); // all answers are there when it resumes
-        stage.program.resume();
-        assert_over_after(&stage, 3);
+        deployment.program.resume();
+        assert_over_after(&deployment, 3);
         drop(kept);
     }
 }
@@ -105,15 +105,15 @@
 #[test]
 fn disconnect_before_a_hedge_of_an_overdue_part_prevents_it() {
     for how in ALL_DISCONNECTS {
-        let stage = stage_with(&ServerBehavior::Silent, |_| {});
-        let mut client = stage.client();
+        let deployment = start_with(&ServerBehavior::Silent, |_| {});
+        let mut client = deployment.client();
         client.write(query("all", &[0], 2900).1.as_bytes());
-        eventually("its part is in flight", || stage.received() == 1);
-        stage.program.pause();
+        eventually("its part is in flight", || deployment.received() == 1);
+        deployment.program.pause();
         let kept = disconnect(client, how);
         thread::sleep(ms(700)); // far beyond half the latency objective: a hedge is due when it resumes
-        stage.program.resume();
-        assert_over_after(&stage, 1);
+        deployment.program.resume();
+        assert_over_after(&deployment, 1);
         drop(kept);
     }
 }
@@ -153,20 +153,20 @@
     for how in ALL_DISCONNECTS {
         // With so long a latency objective no hedge is due before the end of this test.
         let change = |config: &mut Value| config["settings"]["classes"][1]["aim"] = 2_900_000.into();
-        let stage = stage_with(&ServerBehavior::Silent, change);
-        let mut client = stage.client();
+        let deployment = start_with(&ServerBehavior::Silent, change);
+        let mut client = deployment.client();
         client.write(query("all", &[0], 2900).1.as_bytes());
-        eventually("its part is in flight", || stage.received() == 1);
+        eventually("its part is in flight", || deployment.received() == 1);
         // More than is read ahead of a response, and less than the kernel buffers: the close arrives behind it.
         let one = query("all", &[1], 2900).1.into_bytes();
         let ahead = one.repeat(140 * 1024 / one.len());
         client.write(&ahead);
-        let read = || stage.program.stats()["connections"]["client_bytes_in"].as_u64();
+        let read = || deployment.program.stats()["connections"]["client_bytes_in"].as_u64();
         eventually("reading is suspended", || read() > Some(80 * 1024));
         thread::sleep(ms(50));
         let kept = disconnect(client, how);
-        eventually("it is counted as gone", || stage.program.stats()["queries"]["all"]["gone"] == 1);
-        assert_over_after(&stage, 1);
+        eventually("it is counted as gone", || deployment.program.stats()["queries"]["all"]["gone"] == 1);
+        assert_over_after(&deployment, 1);
         drop(kept);
     }
 }
--- a/crates/node/tests/common/stage.rs
+++ b/crates/node/tests/common/deployment.rs
@@ -7,22 +7,22 @@
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
 
 /// Six index servers, two in each of three cells, with discovery and a front node.
-pub struct Stage {
+pub struct Deployment {
     pub servers: Vec<Server>,
     pub discovery: Discovery,
     pub program: FrontNode,
 }
 
-impl Stage {
+impl Deployment {
     /// With something changed in the front node's configuration.
-    pub fn with(doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> Stage {
+    pub fn with(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> Deployment {
         let pinetrestle_standins::SmallDeployment { servers, discovery, program } =
-            pinetrestle_standins::SmallDeployment::start(NODE, doing, change);
-        Stage { servers, discovery, program }
+            pinetrestle_standins::SmallDeployment::start(NODE, behavior, change);
+        Deployment { servers, discovery, program }
     }
 
-    pub fn new(doing: &ServerBehavior) -> Stage {
-        Stage::with(doing, |_| {})
+    pub fn new(behavior: &ServerBehavior) -> Deployment {
+        Deployment::with(behavior, |_| {})
     }
 
     pub fn client(&self) -> Client {
@@ -30,8 +30,8 @@
     }
 
     /// What all index servers do from now on.
-    pub fn all_servers(&self, doing: &ServerBehavior) {
-        self.servers.iter().for_each(|server| server.set_behavior(doing.clone()));
+    pub fn all_servers(&self, behavior: &ServerBehavior) {
+        self.servers.iter().for_each(|server| server.set_behavior(behavior.clone()));
     }
 
     /// Changes the endpoint list and waits until the front node has applied it.
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -7,11 +7,11 @@
 use serde_json::Value;
 
 /// Index of the class that needs any two of three parts.
-pub const ANY: usize = 0;
+pub const CLASS_ANY: usize = 0;
 /// Index of the class that needs all parts.
-pub const ALL: usize = 1;
+pub const CLASS_ALL: usize = 1;
 /// Index of the class with a second step.
-pub const STEPS: usize = 2;
+pub const CLASS_STEPS: usize = 2;
 
 /// Its configuration.
 pub fn config() -> Config {
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -13,17 +13,17 @@
     Duration::from_millis(span)
 }
 
-fn stage_with(doing: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
-    SmallDeployment::start(NODE, doing, change)
+fn start_with(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
+    SmallDeployment::start(NODE, behavior, change)
 }
 
-fn stage_with_transport(transport: Value) -> SmallDeployment {
-    stage_with(&ServerBehavior::Serving, |config| config["transport"] = transport)
+fn start_with_transport(transport: Value) -> SmallDeployment {
+    start_with(&ServerBehavior::Serving, |config| config["transport"] = transport)
 }
 
 /// A client whose connection is idle after a response.
-fn idle_client(stage: &SmallDeployment) -> Client {
-    let mut client = stage.client();
+fn idle_client(deployment: &SmallDeployment) -> Client {
+    let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
     client
 }
@@ -46,21 +46,21 @@
 
 #[test]
 fn sigterm_serves_connections_and_requests_queued_in_the_kernel() {
-    let mut stage = stage_with_transport(json!({"hand_over_ms": 200, "stop_within_ms": 3000}));
-    let mut half = stage.client();
+    let mut deployment = start_with_transport(json!({"hand_over_ms": 200, "stop_within_ms": 3000}));
+    let mut half = deployment.client();
     let text = query("all", &[0, 1], 2000).1;
     half.write(&text.as_bytes()[..60]);
     eventually("its bytes are read", || {
-        stage.program.stats()["connections"]["client_bytes_in"].as_u64() > Some(60)
+        deployment.program.stats()["connections"]["client_bytes_in"].as_u64() > Some(60)
     });
-    stage.program.pause();
+    deployment.program.pause();
     // Accepted by the kernel only: without a byte, and with a complete request.
-    let mut bare = stage.client();
-    let mut complete = stage.client();
+    let mut bare = deployment.client();
+    let mut complete = deployment.client();
     complete.write(query("all", &[0, 1], 2000).1.as_bytes());
-    stage.program.terminate();
+    deployment.program.terminate();
     thread::sleep(ms(400)); // the hand-over period is over when it resumes
-    stage.program.resume();
+    deployment.program.resume();
     assert_eq!(complete.read().status, 200);
     // The rest of the request arrives while the front node closes.
     half.write(&text.as_bytes()[60..]);
@@ -69,70 +69,70 @@
     for client in [&mut half, &mut bare, &mut complete] {
         assert!(client.is_closed());
     }
-    assert_eq!(stage.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.program.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn an_incomplete_request_is_answered_before_shutdown_ends() {
-    let mut stage = stage_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 600}));
-    let mut half = stage.client();
+    let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 600}));
+    let mut half = deployment.client();
     half.write(&query("all", &[0, 1], 2000).1.as_bytes()[..60]);
     let begun = Instant::now();
-    stage.program.terminate();
+    deployment.program.terminate();
     let answer = half.read();
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("stopping")));
     assert!(half.is_closed() && begun.elapsed() < ms(1500), "{:?}", begun.elapsed());
-    assert_eq!(stage.program.wait_for_exit(), Some(0));
-    assert_eq!(stage.received(), 0);
+    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.received(), 0);
 }
 
 #[test]
 fn a_request_that_arrives_with_sigterm_or_with_closing_is_answered() {
     // The request is read in the same wake-up as the signal, and as the end of the hand-over period.
     for (hand_over, paused) in [(2000, 50), (200, 500)] {
-        let mut stage = stage_with_transport(json!({"hand_over_ms": hand_over, "stop_within_ms": 3000}));
-        let mut client = idle_client(&stage);
+        let mut deployment = start_with_transport(json!({"hand_over_ms": hand_over, "stop_within_ms": 3000}));
+        let mut client = idle_client(&deployment);
         if hand_over < paused {
-            stage.program.terminate();
-            eventually("it is stopping", || stage.program.count_log_lines(&["msg=\"stopping\""]) == 1);
+            deployment.program.terminate();
+            eventually("it is stopping", || deployment.program.count_log_lines(&["msg=\"stopping\""]) == 1);
         }
-        stage.program.pause();
+        deployment.program.pause();
         client.write(query("all", &[0, 1], 2000).1.as_bytes());
         if hand_over > paused {
-            stage.program.terminate();
+            deployment.program.terminate();
         }
         thread::sleep(ms(paused));
-        stage.program.resume();
+        deployment.program.resume();
         assert_eq!(client.read().status, 200);
         assert!(client.is_closed());
-        assert_eq!(stage.program.wait_for_exit(), Some(0));
+        assert_eq!(deployment.program.wait_for_exit(), Some(0));
     }
 }
 
 #[test]
 fn pipelined_requests_are_all_answered_at_shutdown() {
-    let mut stage = stage_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 3000}));
-    let mut client = idle_client(&stage);
-    stage.program.terminate();
-    eventually("it is stopping", || stage.program.count_log_lines(&["msg=\"stopping\""]) == 1);
-    stage.program.pause();
+    let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 3000}));
+    let mut client = idle_client(&deployment);
+    deployment.program.terminate();
+    eventually("it is stopping", || deployment.program.count_log_lines(&["msg=\"stopping\""]) == 1);
+    deployment.program.pause();
     let text: String = (0..5).map(|_| query("all", &[0], 2000).1).collect();
     client.write(text.as_bytes());
     thread::sleep(ms(300));
-    stage.program.resume();
+    deployment.program.resume();
     let answers: Vec<_> = (0..5).map(|_| client.read()).collect();
     assert!(answers.iter().all(|answer| answer.status == 200), "{answers:?}");
     let says_close: Vec<bool> =
         answers.iter().map(|answer| answer.headers.contains_key("connection")).collect();
     assert_eq!(says_close, [false, false, false, false, true]);
     assert!(client.is_closed());
-    assert_eq!(stage.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.program.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn responses_half_written_at_shutdown_are_completed() {
-    let mut stage = stage_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 4000}));
-    let mut client = stage.client();
+    let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 4000}));
+    let mut client = deployment.client();
     socket2::SockRef::from(client.stream.get_ref()).set_recv_buffer_size(64 * 1024).expect("set");
     // More responses than the buffers between hold, and none is read.
     let asked = 3000;
@@ -142,7 +142,7 @@
         // The front node closes the connection at some request; what is sent after that fails or is discarded.
         (0..asked / 10).all(|_| std::io::Write::write_all(&mut writer, one.as_bytes()).is_ok())
     });
-    let written = || stage.program.stats()["connections"]["client_bytes_out"].as_u64();
+    let written = || deployment.program.stats()["connections"]["client_bytes_out"].as_u64();
     let mut before = written();
     eventually("a response is blocked", || {
         thread::sleep(ms(100));
@@ -151,10 +151,10 @@
         before = now;
         blocked
     });
-    stage.program.terminate();
+    deployment.program.terminate();
     eventually("it is closing", || {
-        stage.program.count_log_lines(&["reason=shutdown"])
-            + stage.program.count_log_lines(&["msg=\"stopping\""])
+        deployment.program.count_log_lines(&["reason=shutdown"])
+            + deployment.program.count_log_lines(&["msg=\"stopping\""])
             >= 1
     });
     thread::sleep(ms(200));
@@ -174,122 +174,124 @@
     assert!(client.is_closed());
     drop(client);
     sender.join().expect("the sender ends");
-    assert_eq!(stage.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.program.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_connection_closed_as_idle_answers_earlier_requests_and_discards_later_ones() {
-    let stage = stage_with_transport(json!({"client_idle_ms": 300}));
-    let mut client = idle_client(&stage);
-    stage.program.pause();
+    let deployment = start_with_transport(json!({"client_idle_ms": 300}));
+    let mut client = idle_client(&deployment);
+    deployment.program.pause();
     client.write(query("all", &[0], 2000).1.as_bytes());
     thread::sleep(ms(400)); // both are there when it resumes: the request and the idle timeout
-    stage.program.resume();
+    deployment.program.resume();
     assert_eq!(client.read().status, 200);
-    let before = stage.received();
+    let before = deployment.received();
     assert_closed_without_reset(&mut client);
-    assert_eq!(stage.received(), before, "what arrives after the half-close is never forwarded");
-    eventually("the close is logged", || stage.program.close_reasons("client").contains(&"idle".to_owned()));
+    assert_eq!(deployment.received(), before, "what arrives after the half-close is never forwarded");
+    eventually("the close is logged", || {
+        deployment.program.close_reasons("client").contains(&"idle".to_owned())
+    });
 }
 
 #[test]
 fn a_connection_without_a_request_is_closed_without_reset() {
-    let stage = stage_with_transport(json!({"first_ms": 300}));
-    let mut client = stage.client();
+    let deployment = start_with_transport(json!({"first_ms": 300}));
+    let mut client = deployment.client();
     assert_closed_without_reset(&mut client);
-    assert_eq!(stage.received(), 0);
+    assert_eq!(deployment.received(), 0);
 }
 
 #[test]
 fn an_evicted_connection_is_closed_without_reset() {
-    let stage = stage_with_transport(json!({"client_connections": 4}));
-    let mut oldest = idle_client(&stage);
-    let others: Vec<Client> = (0..3).map(|_| idle_client(&stage)).collect();
+    let deployment = start_with_transport(json!({"client_connections": 4}));
+    let mut oldest = idle_client(&deployment);
+    let others: Vec<Client> = (0..3).map(|_| idle_client(&deployment)).collect();
     let newcomer = thread::spawn({
-        let address = stage.address();
+        let address = deployment.address();
         move || Client::connect(address).send(&query("all", &[0], 2000).1).status
     });
-    let before = stage.received();
+    let before = deployment.received();
     assert_closed_without_reset(&mut oldest);
     assert_eq!(newcomer.join().expect("it gets an answer"), 200);
-    assert!(stage.received() <= before + 1, "what arrives after the half-close is never forwarded");
+    assert!(deployment.received() <= before + 1, "what arrives after the half-close is never forwarded");
     drop(others);
 }
 
 #[test]
 fn the_longest_idle_connections_are_evicted_before_the_bound_is_reached() {
     // A sixteenth of 32 places is kept free: a client of a flood finds one without waiting for another's close.
-    let stage = stage_with_transport(json!({"client_connections": 32}));
-    let mut oldest = idle_client(&stage);
-    let mut others: Vec<Client> = (0..28).map(|_| idle_client(&stage)).collect();
-    let open = || stage.program.stats()["connections"]["clients_open"].as_u64().expect("a count");
+    let deployment = start_with_transport(json!({"client_connections": 32}));
+    let mut oldest = idle_client(&deployment);
+    let mut others: Vec<Client> = (0..28).map(|_| idle_client(&deployment)).collect();
+    let open = || deployment.program.stats()["connections"]["clients_open"].as_u64().expect("a count");
     // The request for the counters occupies a place itself and releases it each time.
     eventually("29 are idle and three places are free", || open() == 30);
-    assert!(!stage.program.close_reasons("client").iter().any(|reason| reason == "made_room"));
-    others.push(idle_client(&stage));
+    assert!(!deployment.program.close_reasons("client").iter().any(|reason| reason == "made_room"));
+    others.push(idle_client(&deployment));
     assert_closed_without_reset(&mut oldest);
     eventually("a place is free again", || open() <= 31);
 }
 
 #[test]
 fn an_idle_connection_at_shutdown_is_closed_without_reset() {
-    let mut stage = stage_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 2000}));
-    let mut client = idle_client(&stage);
-    let before = stage.received();
-    stage.program.terminate();
+    let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 2000}));
+    let mut client = idle_client(&deployment);
+    let before = deployment.received();
+    deployment.program.terminate();
     assert_closed_without_reset(&mut client);
     drop(client);
-    assert_eq!(stage.program.wait_for_exit(), Some(0));
-    assert_eq!(stage.received(), before);
+    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.received(), before);
 }
 
 #[test]
 fn a_connection_closed_as_requested_delivers_its_response_though_more_arrives() {
-    let stage = stage_with_transport(json!({}));
+    let deployment = start_with_transport(json!({}));
     for _ in 0..20 {
-        let mut client = stage.client();
+        let mut client = deployment.client();
         let text = query("all", &[0], 2000).1.replace("Host: app.svc", "Connection: close");
-        stage.program.pause();
+        deployment.program.pause();
         client.write(text.as_bytes());
         client.write(query("all", &[1], 2000).1.as_bytes());
         client.write(&vec![b'x'; 100_000]);
-        stage.program.resume();
+        deployment.program.resume();
         assert_eq!(client.read().status, 200);
         let mut rest = Vec::new();
         let end = client.stream.read_to_end(&mut rest).map_err(|error| error.kind());
         assert_eq!(end, Ok(0), "no reset, no further response");
     }
-    assert_eq!(stage.received(), 20, "the second request is never forwarded");
+    assert_eq!(deployment.received(), 20, "the second request is never forwarded");
 }
 
 #[test]
 fn a_second_sigterm_and_a_concurrent_sighup_change_nothing() {
     for order in [["-TERM", "-TERM", "-HUP"], ["-HUP", "-TERM", "-TERM"], ["-TERM", "-HUP", "-INT"]] {
-        let mut stage = stage_with(&ServerBehavior::ServingAfter(ms(300)), |config| {
+        let mut deployment = start_with(&ServerBehavior::ServingAfter(ms(300)), |config| {
             config["transport"] = json!({"hand_over_ms": 100, "stop_within_ms": 3000});
         });
-        let mut client = stage.client();
+        let mut client = deployment.client();
         client.write(query("all", &[0, 1], 2000).1.as_bytes());
-        eventually("its parts are in flight", || stage.received() >= 2);
-        stage.program.pause();
-        order.iter().for_each(|signal| stage.program.signal(signal));
-        stage.program.resume();
+        eventually("its parts are in flight", || deployment.received() >= 2);
+        deployment.program.pause();
+        order.iter().for_each(|signal| deployment.program.signal(signal));
+        deployment.program.resume();
         thread::sleep(ms(30));
-        stage.program.terminate();
+        deployment.program.terminate();
         assert_eq!(client.read().status, 200, "{order:?}");
-        assert_eq!(stage.program.wait_for_exit(), Some(0), "{order:?}");
-        assert_eq!(stage.program.count_log_lines(&["msg=\"stopping\""]), 1, "{order:?}");
+        assert_eq!(deployment.program.wait_for_exit(), Some(0), "{order:?}");
+        assert_eq!(deployment.program.count_log_lines(&["msg=\"stopping\""]), 1, "{order:?}");
     }
     // The watch of discovery stays open to the end.
-    let stage = stage_with_transport(json!({}));
-    assert!(stage.discovery.watch_count() <= 2);
+    let deployment = start_with_transport(json!({}));
+    assert!(deployment.discovery.watch_count() <= 2);
 }
 
 #[test]
 fn after_the_exit_connections_are_refused() {
-    let mut stage = stage_with_transport(json!({"hand_over_ms": 50, "stop_within_ms": 500}));
-    stage.program.terminate();
-    assert_eq!(stage.program.wait_for_exit(), Some(0));
-    let refused = std::net::TcpStream::connect(stage.address()).map_err(|error| error.kind());
+    let mut deployment = start_with_transport(json!({"hand_over_ms": 50, "stop_within_ms": 500}));
+    deployment.program.terminate();
+    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    let refused = std::net::TcpStream::connect(deployment.address()).map_err(|error| error.kind());
     assert_eq!(refused.err(), Some(ErrorKind::ConnectionRefused));
 }
--- a/crates/node/tests/discovery_faults.rs
+++ b/crates/node/tests/discovery_faults.rs
@@ -1,37 +1,37 @@
 //! Discovery that fails, says nothing or sends malformed lists.
 
-#[path = "common/stage.rs"]
-mod stage;
+#[path = "common/deployment.rs"]
+mod deployment;
 
+use deployment::Deployment;
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, query, Client, Discovery, DiscoveryBehavior, FrontNode,
     Server, ServerBehavior,
 };
 use serde_json::json;
-use stage::Stage;
 
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
 
 #[test]
 fn a_lost_watch_is_reopened_and_malformed_lists_change_nothing() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    eventually("a watch is open", || stage.program.stats()["discovery"]["lists"].as_u64() >= Some(1));
-    for telling in [DiscoveryBehavior::Unavailable, DiscoveryBehavior::InvalidLines] {
-        let before = stage.discovery.watch_count();
-        stage.discovery.set_behavior(telling);
-        stage.discovery.close_watches();
-        eventually("it is opened again", || stage.discovery.watch_count() > before + 1);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    eventually("a watch is open", || deployment.program.stats()["discovery"]["lists"].as_u64() >= Some(1));
+    for behavior in [DiscoveryBehavior::Unavailable, DiscoveryBehavior::InvalidLines] {
+        let before = deployment.discovery.watch_count();
+        deployment.discovery.set_behavior(behavior);
+        deployment.discovery.close_watches();
+        eventually("it is opened again", || deployment.discovery.watch_count() > before + 1);
         assert_eq!(
-            stage.client().send(&query("all", &[0], 2000).1).status,
+            deployment.client().send(&query("all", &[0], 2000).1).status,
             200,
             "the endpoint list is unchanged"
         );
     }
-    stage.discovery.set_behavior(DiscoveryBehavior::Serving);
-    let lists = stage.program.stats()["discovery"]["lists"].as_u64();
-    eventually("it is open again", || stage.program.stats()["discovery"]["lists"].as_u64() > lists);
+    deployment.discovery.set_behavior(DiscoveryBehavior::Serving);
+    let lists = deployment.program.stats()["discovery"]["lists"].as_u64();
+    eventually("it is open again", || deployment.program.stats()["discovery"]["lists"].as_u64() > lists);
     for reason in ["ended_by_peer", "status", "bad_list"] {
-        eventually(reason, || stage.program.close_reasons("discovery").contains(&reason.to_owned()));
+        eventually(reason, || deployment.program.close_reasons("discovery").contains(&reason.to_owned()));
     }
 }
 
--- a/crates/node/tests/discovery_watches.rs
+++ b/crates/node/tests/discovery_watches.rs
@@ -115,9 +115,9 @@
 #[test]
 fn a_change_is_acted_on_after_failed_calls_by_an_indented_list() {
     in_both_list_modes(|deployment| {
-        for telling in [DiscoveryBehavior::Unavailable, DiscoveryBehavior::ClosingWithinHead] {
+        for behavior in [DiscoveryBehavior::Unavailable, DiscoveryBehavior::ClosingWithinHead] {
             let watches_before = deployment.discovery.watch_count();
-            deployment.discovery.set_behavior(telling);
+            deployment.discovery.set_behavior(behavior);
             deployment.discovery.close_watches();
             eventually("watches are opened again and again", || {
                 deployment.discovery.watch_count() >= watches_before + 3
--- a/crates/node/tests/host/attempts.rs
+++ b/crates/node/tests/host/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: what is sent for them, how they end, timeouts and withdrawal.
 
-use crate::common::{config_with, ALL};
+use crate::common::{config_with, CLASS_ALL};
 use crate::harness::{Harness, MS};
 use pinetrestle_node::host::Command;
 use pinetrestle_protocol::connection::AttemptAnswer;
@@ -10,7 +10,7 @@
 #[test]
 fn each_part_carries_its_id_its_text_and_the_time_left() {
     let mut harness = Harness::new();
-    harness.submit(ALL, &[0, 1]).expect("admitted");
+    harness.submit(CLASS_ALL, &[0, 1]).expect("admitted");
     for sent in harness.in_flight.values() {
         let remaining = harness.remaining_ms(&sent.part);
         assert!((100..=2000).contains(&remaining), "{remaining}");
@@ -24,7 +24,7 @@
 #[test]
 fn an_attempt_ends_once_and_a_late_answer_is_dropped() {
     let mut harness = Harness::new();
-    harness.submit(ALL, &[0]).expect("admitted");
+    harness.submit(CLASS_ALL, &[0]).expect("admitted");
     let attempt_id = harness.attempt_ids()[0];
     harness.in_flight.remove(&attempt_id);
     harness.host.connection_lost(harness.now(), attempt_id, false);
@@ -53,7 +53,7 @@
         settings["permissions"]["cancel"] = json!(false);
         settings["permissions"]["may_duplicate"] = json!(false);
     }));
-    harness.submit(ALL, &[0]).expect("admitted");
+    harness.submit(CLASS_ALL, &[0]).expect("admitted");
     let (first, sent) = harness.in_flight.pop_first().expect("one part is in flight");
     let remaining = harness.remaining_ms(&sent.part);
     assert!(remaining < 1900, "the timeout comes before the client's deadline: {remaining} ms");
@@ -73,7 +73,7 @@
 #[test]
 fn attempts_of_a_disconnected_client_are_withdrawn_before_any_other_task_runs() {
     let mut harness = Harness::new();
-    let query = harness.submit(ALL, &[0, 1, 2]).expect("admitted");
+    let query = harness.submit(CLASS_ALL, &[0, 1, 2]).expect("admitted");
     let attempt_ids = harness.attempt_ids();
     assert_eq!(attempt_ids.len(), 3);
     harness.host.client_disconnected(query);
--- a/crates/node/tests/host/endpoints.rs
+++ b/crates/node/tests/host/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: updates, removals, returning servers and a lost watch.
 
-use crate::common::ALL;
+use crate::common::CLASS_ALL;
 use crate::harness::{entry, Harness, MS};
 use pinetrestle::interface::ReplicaId;
 use pinetrestle_protocol::endpoint_list::{EndpointEntry, Status};
@@ -45,7 +45,7 @@
 fn a_server_that_returns_under_its_name_keeps_its_number_and_an_unknown_one_may_be_removed() {
     let mut harness = Harness::new();
     let replica_of_a_new_attempt = |harness: &mut Harness| -> ReplicaId {
-        harness.submit(ALL, &[0]).expect("admitted");
+        harness.submit(CLASS_ALL, &[0]).expect("admitted");
         let (_, sent) = harness.in_flight.pop_last().expect("it is in flight");
         sent.replica
     };
--- a/crates/node/tests/host/long_runs.rs
+++ b/crates/node/tests/host/long_runs.rs
@@ -1,6 +1,6 @@
 //! Long runs: random inputs keep the counters balanced, and tables do not grow with time.
 
-use crate::common::ALL;
+use crate::common::CLASS_ALL;
 use crate::harness::{entry, Harness, MS};
 use pinetrestle::interface::Id;
 use pinetrestle_node::host::TableSize;
@@ -94,7 +94,7 @@
         // One server comes, one drains, one leaves; now and then the list is complete.
         let (oldest, newest) = (round, round + 6);
         harness.update_endpoints(false, vec![entry(newest, Status::Up), entry(oldest, Status::Draining)]);
-        harness.submit(ALL, &[0, 1, 2]).expect("admitted");
+        harness.submit(CLASS_ALL, &[0, 1, 2]).expect("admitted");
         if round % 7 == 0 {
             let listed = (round + 1..round + 7).map(|number| entry(number, Status::Up));
             harness.update_endpoints(true, listed.collect());
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -1,11 +1,11 @@
 //! Clients and index servers that misbehave, beside well-behaved ones that are served.
 
-#[path = "common/stage.rs"]
-mod stage;
+#[path = "common/deployment.rs"]
+mod deployment;
 
+use deployment::Deployment;
 use pinetrestle_standins::{entries, eventually, query, Client, ServerBehavior};
 use serde_json::json;
-use stage::Stage;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -14,30 +14,30 @@
 
 #[test]
 fn silent_and_dripping_clients_are_closed_in_time() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     let begun = Instant::now();
-    let mut silent = stage.client();
-    let mut half = stage.client();
+    let mut silent = deployment.client();
+    let mut half = deployment.client();
     half.write(b"POST /all HTTP/1.1\r\nContent-Length: 100\r\n\r\n{");
-    let mut drip = stage.client();
+    let mut drip = deployment.client();
     // Never 2 s without a byte, and never a complete request.
     while drip.try_write(b"POST /".get(..1).expect("a byte")) && begun.elapsed() < CLOSE_WITHIN {
         thread::sleep(Duration::from_millis(50));
-        stage.assert_serves();
+        deployment.assert_serves();
     }
     assert!(begun.elapsed() < CLOSE_WITHIN, "dripping does not keep a connection open");
     assert!(silent.is_closed());
     assert_eq!(half.read().status, 408);
     assert!(half.is_closed() && begun.elapsed() < CLOSE_WITHIN, "{:?}", begun.elapsed());
     for reason in ["never_asked", "request_timeout"] {
-        eventually(reason, || stage.program.close_reasons("client").contains(&reason.to_owned()));
+        eventually(reason, || deployment.program.close_reasons("client").contains(&reason.to_owned()));
     }
 }
 
 #[test]
 fn a_connection_that_was_used_once_may_stay_idle() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    let mut client = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
     thread::sleep(Duration::from_millis(2300));
     assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
@@ -45,10 +45,10 @@
 
 #[test]
 fn a_body_of_sixty_megabytes_is_rejected_by_its_head_without_buffering() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     for head in ["Content-Length: 60000000", "Transfer-Encoding: chunked"] {
         let begun = Instant::now();
-        let mut client = stage.client();
+        let mut client = deployment.client();
         client.write(format!("POST /all HTTP/1.1\r\n{head}\r\n\r\n").as_bytes());
         let chunked = head.starts_with('T');
         let block = [&b"10000\r\n"[..], &[b' '; 0x10000], b"\r\n"].concat();
@@ -59,15 +59,16 @@
         assert!(begun.elapsed() < CLOSE_WITHIN, "{:?}", begun.elapsed());
     }
     eventually("the close is logged", || {
-        stage.program.close_reasons("client").iter().filter(|reason| *reason == "body_too_long").count() == 2
+        deployment.program.close_reasons("client").iter().filter(|reason| *reason == "body_too_long").count()
+            == 2
     });
-    assert!(stage.program.peak_memory_kb() < 32 * 1024, "{} kB", stage.program.peak_memory_kb());
-    stage.assert_serves();
+    assert!(deployment.program.peak_memory_kb() < 32 * 1024, "{} kB", deployment.program.peak_memory_kb());
+    deployment.assert_serves();
 }
 
 #[test]
 fn a_smuggled_request_is_never_processed() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     let hidden = query("all", &[0], 2000).1;
     for fields in [
         format!("Content-Length: {}\r\nTransfer-Encoding: chunked", 5 + hidden.len()),
@@ -75,19 +76,19 @@
         "Content-Length: 5\r\nContent-Length: 6".to_owned(),
         "Transfer-Encoding: xchunked".to_owned(),
     ] {
-        let mut client = stage.client();
+        let mut client = deployment.client();
         client.write(format!("POST /all HTTP/1.1\r\n{fields}\r\n\r\n0\r\n\r\n{hidden}").as_bytes());
         let answer = client.read();
         assert!((400..600).contains(&answer.status), "{answer:?}");
         assert!(client.is_closed());
     }
-    assert_eq!(stage.parts_received(), 0);
-    stage.assert_serves();
+    assert_eq!(deployment.parts_received(), 0);
+    deployment.assert_serves();
 }
 
 #[test]
 fn ambiguous_fields_are_rejected_and_sixteen_of_them_close_the_connection() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     let good = query("all", &[0], 2000).1;
     let cases = [
         ("X-Qos: all", "X-Qos: all\r\nX-Qos: any"),
@@ -99,49 +100,49 @@
         ("POST /all", "POST /elsewhere"),
         ("POST /all", "POST /any"),
     ];
-    let mut client = stage.client();
+    let mut client = deployment.client();
     for (from, to) in cases.iter().chain(&cases) {
         assert!(good.contains(from));
         let answer = client.send(&good.replacen(from, to, 1));
         assert!((400..500).contains(&answer.status), "{to}: {answer:?}");
     }
     assert!(client.is_closed(), "such a client has to reconnect");
-    assert_eq!(stage.parts_received(), 0);
+    assert_eq!(deployment.parts_received(), 0);
     eventually("the close is logged", || {
-        stage.program.close_reasons("client").contains(&"too_many_bad".to_owned())
+        deployment.program.close_reasons("client").contains(&"too_many_bad".to_owned())
     });
 }
 
 #[test]
 fn a_flood_of_silent_connections_is_evicted_before_active_ones() {
-    let stage = Stage::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 40})
     });
-    let mut active = stage.client();
+    let mut active = deployment.client();
     assert_eq!(active.send(&query("all", &[0], 2000).1).status, 200);
     let mut crowd = Vec::new();
     for round in 0..200 {
-        crowd.push(stage.client());
+        crowd.push(deployment.client());
         if round % 10 == 0 {
             assert_eq!(active.send(&query("all", &[1], 2000).1).status, 200, "round {round}");
-            stage.assert_serves();
+            deployment.assert_serves();
         }
     }
-    let stats = stage.program.stats();
+    let stats = deployment.program.stats();
     assert!(stats["connections"]["clients_open"].as_u64() <= Some(40), "{stats}");
     assert_eq!(active.send(&query("all", &[2], 2000).1).status, 200, "it was never evicted");
 }
 
 #[test]
 fn a_newcomer_is_not_evicted_before_its_request_is_read() {
-    let stage = Stage::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 20})
     });
     for _ in 0..50 {
         let texts: Vec<String> = (0..60).map(|_| query("all", &[0], 2000).1).collect();
         // Three times as many connect as there are places, and their requests follow a moment later.
         let begun = Instant::now();
-        let mut clients: Vec<Client> = texts.iter().map(|_| stage.client()).collect();
+        let mut clients: Vec<Client> = texts.iter().map(|_| deployment.client()).collect();
         thread::sleep(Duration::from_millis(5));
         let wrote = clients.iter_mut().zip(&texts).all(|(client, text)| client.try_write(text.as_bytes()));
         let took = begun.elapsed();
@@ -159,62 +160,62 @@
 
 #[test]
 fn a_request_s_time_runs_while_the_process_is_paused() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    stage.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
-    let mut client = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    deployment.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
+    let mut client = deployment.client();
     assert_eq!(client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
-    stage.program.pause();
+    deployment.program.pause();
     let begun = Instant::now();
     client.write(query("all", &[0], 1500).1.as_bytes());
     thread::sleep(Duration::from_millis(700));
-    stage.program.resume();
+    deployment.program.resume();
     assert_eq!(client.read().status, 503);
     assert!(begun.elapsed() < Duration::from_millis(1900), "{:?}", begun.elapsed());
 }
 
 #[test]
 fn an_id_reused_just_after_its_answer_is_rejected() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     let text = query("all", &[0, 1], 2000).1;
-    assert_eq!(stage.client().send(&text).status, 200);
-    let before = stage.parts_received();
-    assert_eq!(stage.client().send(&text).status, 409);
-    assert_eq!(stage.parts_received(), before);
+    assert_eq!(deployment.client().send(&text).status, 200);
+    let before = deployment.parts_received();
+    assert_eq!(deployment.client().send(&text).status, 409);
+    assert_eq!(deployment.parts_received(), before);
 }
 
 #[test]
 fn a_server_that_stalls_within_a_frame_is_dropped_before_the_query_s_deadline() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    stage.servers[0].set_behavior(ServerBehavior::StallingWithinAnswer);
-    let mut client = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    deployment.servers[0].set_behavior(ServerBehavior::StallingWithinAnswer);
+    let mut client = deployment.client();
     eventually("its connection is dropped", || {
         let begun = Instant::now();
         let answer = client.send(&query("all", &[0], 3000).1);
         assert_eq!(answer.status, 200, "another replica answers: {answer:?}");
         assert!(begun.elapsed() < Duration::from_millis(1500), "{:?}", begun.elapsed());
-        stage.program.close_reasons("index_server").contains(&"stalled_within_frame".to_owned())
+        deployment.program.close_reasons("index_server").contains(&"stalled_within_frame".to_owned())
     });
-    assert!(stage.program.stats()["attempts"]["reset"].as_u64() >= Some(1), "it may have run");
+    assert!(deployment.program.stats()["attempts"]["reset"].as_u64() >= Some(1), "it may have run");
 }
 
 #[test]
 fn extra_frames_and_closes_after_an_answer_affect_no_other_query() {
-    for doing in
+    for behavior in
         [ServerBehavior::AnsweringTwice, ServerBehavior::AppendingGarbage, ServerBehavior::ClosingAfterAnswer]
     {
-        let stage = Stage::new(&ServerBehavior::Serving);
-        stage.servers.iter().for_each(|server| server.set_behavior(doing.clone()));
-        let mut client = stage.client();
+        let deployment = Deployment::new(&ServerBehavior::Serving);
+        deployment.servers.iter().for_each(|server| server.set_behavior(behavior.clone()));
+        let mut client = deployment.client();
         for _ in 0..30 {
             let (id, text) = query("all", &[0, 1, 2], 2000);
             let answer = client.send(&text);
-            assert_eq!(answer.status, 200, "{doing:?}: {answer:?}");
+            assert_eq!(answer.status, 200, "{behavior:?}: {answer:?}");
             for item in answer.json()["items"].as_array().expect("items") {
-                assert_eq!(item["body"], format!("value of {id}.{}", item["slice"]), "{doing:?}");
+                assert_eq!(item["body"], format!("value of {id}.{}", item["slice"]), "{behavior:?}");
             }
         }
-        if doing == ServerBehavior::AnsweringTwice {
-            let stats = stage.program.stats();
+        if behavior == ServerBehavior::AnsweringTwice {
+            let stats = deployment.program.stats();
             assert!(stats["attempts"]["late_answers"].as_u64() >= Some(80), "{stats}");
             assert!(
                 stats["connections"]["servers_begun"].as_u64() <= Some(6),
@@ -226,15 +227,15 @@
 
 #[test]
 fn connections_that_fall_silent_are_replaced() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     for _ in 0..20 {
-        stage.assert_serves();
+        deployment.assert_serves();
     }
-    stage
+    deployment
         .servers
         .iter()
         .for_each(|server| server.set_behavior(ServerBehavior::SilentOnFirst(server.accepted_connections())));
-    let mut client = stage.client();
+    let mut client = deployment.client();
     let mut in_a_row = 0;
     eventually("ten queries in a row are served", || {
         let served = client.send(&query("all", &[0, 1, 2], 400).1).status == 200;
@@ -242,19 +243,19 @@
         in_a_row == 10
     });
     eventually("the replaced connections are logged", || {
-        stage.program.close_reasons("index_server").contains(&"unheard".to_owned())
+        deployment.program.close_reasons("index_server").contains(&"unheard".to_owned())
     });
 }
 
 #[test]
 fn connections_to_a_server_removed_from_the_endpoint_list_are_closed() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     for _ in 0..10 {
-        stage.assert_serves();
+        deployment.assert_serves();
     }
-    let open = || stage.program.stats()["connections"]["servers_open"].as_u64();
+    let open = || deployment.program.stats()["connections"]["servers_open"].as_u64();
     assert!(open() > Some(3));
-    stage.discovery.set_entries(entries(&stage.servers[..3]));
+    deployment.discovery.set_entries(entries(&deployment.servers[..3]));
     eventually("only connections to listed servers stay open", || open() <= Some(3));
-    stage.assert_serves();
+    deployment.assert_serves();
 }
--- a/crates/node/tests/query_serving.rs
+++ b/crates/node/tests/query_serving.rs
@@ -1,17 +1,17 @@
 //! Queries over sockets: served, rejected, cancelled, within their time.
 
-#[path = "common/stage.rs"]
-mod stage;
+#[path = "common/deployment.rs"]
+mod deployment;
 
+use deployment::Deployment;
 use pinetrestle_standins::{eventually, query, Server, ServerBehavior};
 use serde_json::json;
-use stage::Stage;
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_query_is_served_with_the_values_of_the_index_servers() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    let mut client = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let mut client = deployment.client();
     let (id, text) = query("all", &[0, 1, 5], 2000);
     let answer = client.send(&text);
     assert_eq!(answer.status, 200, "{answer:?}");
@@ -29,7 +29,7 @@
     let wanted: Vec<(u64, String)> =
         [0, 1, 5].map(|shard| (shard, format!("value of {id}.{shard}"))).to_vec();
     assert_eq!(items, wanted);
-    for (n, server) in stage.servers.iter().enumerate() {
+    for (n, server) in deployment.servers.iter().enumerate() {
         for part in server.received() {
             assert_eq!(part.shard as usize % 3, n % 3, "each part goes to a replica of its shard");
             assert_eq!(part.text, "c41e77d0", "forwarded unchanged");
@@ -50,32 +50,32 @@
         client.write(&[*byte]);
     }
     assert_eq!(client.read().status, 200);
-    let stats = stage.balanced_stats();
+    let stats = deployment.balanced_stats();
     assert_eq!(stats["queries"]["all"]["whole"], 2);
     assert_eq!(stats["attempts"]["ok"], 4);
 }
 
 #[test]
 fn any_two_of_three_parts_make_a_complete_answer() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     // One cell of three is silent: the other two suffice.
-    stage.servers[0].set_behavior(ServerBehavior::Silent);
-    stage.servers[3].set_behavior(ServerBehavior::Silent);
-    let mut client = stage.client();
+    deployment.servers[0].set_behavior(ServerBehavior::Silent);
+    deployment.servers[3].set_behavior(ServerBehavior::Silent);
+    let mut client = deployment.client();
     for _ in 0..5 {
         let answer = client.send(&query("any", &[0, 1, 2], 2000).1);
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_eq!(answer.json()["entire"], true);
         assert!(answer.json()["items"].as_array().expect("items").len() >= 2);
     }
-    stage.balanced_stats();
+    deployment.balanced_stats();
 }
 
 #[test]
 fn the_second_step_goes_to_the_best_shards_and_gives_the_answer() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     let (id, text) = query("steps", &[0, 1, 2, 3], 2000);
-    let answer = stage.client().send(&text);
+    let answer = deployment.client().send(&text);
     assert_eq!(answer.status, 200, "{answer:?}");
     let mut values: Vec<String> = answer.json()["items"]
         .as_array()
@@ -86,8 +86,12 @@
     values.sort();
     // The stand-ins score a shard by its number.
     assert_eq!(values, [format!("value of {id}.2.phase2"), format!("value of {id}.3.phase2")]);
-    let second: Vec<_> =
-        stage.servers.iter().flat_map(Server::received).filter(|part| part.id.ends_with(".phase2")).collect();
+    let second: Vec<_> = deployment
+        .servers
+        .iter()
+        .flat_map(Server::received)
+        .filter(|part| part.id.ends_with(".phase2"))
+        .collect();
     assert_eq!(second.len(), 2);
     for part in second {
         assert!(part.attributes.ends_with(",from=0+1+2+3,whole=1"), "{}", part.attributes);
@@ -96,13 +100,13 @@
 
 #[test]
 fn errors_and_rejections_of_index_servers_are_distinguished() {
-    for (doing, outcome) in [(ServerBehavior::Failing, "error"), (ServerBehavior::Rejecting, "full")] {
-        let stage = Stage::new(&doing);
-        let answer = stage.client().send(&query("all", &[0], 1500).1);
+    for (behavior, outcome) in [(ServerBehavior::Failing, "error"), (ServerBehavior::Rejecting, "full")] {
+        let deployment = Deployment::new(&behavior);
+        let answer = deployment.client().send(&query("all", &[0], 1500).1);
         assert_eq!(answer.status, 503, "{answer:?}");
         let wait: f64 = answer.headers["retry-after"].parse().expect("seconds");
         assert!(wait > 0.0 && wait <= 0.5, "{wait}");
-        let stats = stage.balanced_stats();
+        let stats = deployment.balanced_stats();
         assert!(stats["attempts"][outcome].as_u64() >= Some(1), "{stats}");
         assert_eq!(stats["queries"]["all"]["refused"], 1);
     }
@@ -110,44 +114,44 @@
 
 #[test]
 fn parts_of_a_disconnected_client_are_cancelled() {
-    let stage = Stage::new(&ServerBehavior::Silent);
-    let mut client = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::Silent);
+    let mut client = deployment.client();
     let (id, text) = query("all", &[0, 1], 2500);
     client.write(text.as_bytes());
-    eventually("the parts are in flight", || stage.parts_received() >= 2);
+    eventually("the parts are in flight", || deployment.parts_received() >= 2);
     drop(client);
     eventually("they are cancelled", || {
-        let cancelled = stage.parts_cancelled();
+        let cancelled = deployment.parts_cancelled();
         [0, 1].iter().all(|shard| cancelled.contains(&format!("{id}.{shard}")))
     });
-    let stats = stage.balanced_stats();
+    let stats = deployment.balanced_stats();
     assert_eq!(stats["queries"]["all"]["gone"], 1);
     eventually("the close is logged", || {
-        stage.program.close_reasons("client").contains(&"client_gone".to_owned())
+        deployment.program.close_reasons("client").contains(&"client_gone".to_owned())
     });
 }
 
 #[test]
 fn a_silent_server_delays_no_other_query_and_its_query_ends_by_the_deadline() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    stage.servers[0].set_behavior(ServerBehavior::Silent);
-    stage.servers[3].set_behavior(ServerBehavior::Silent);
-    let mut waiting = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    deployment.servers[0].set_behavior(ServerBehavior::Silent);
+    deployment.servers[3].set_behavior(ServerBehavior::Silent);
+    let mut waiting = deployment.client();
     let begun = Instant::now();
     waiting.write(query("all", &[0], 900).1.as_bytes());
-    eventually("its part is in flight", || stage.parts_received() >= 1);
-    assert_eq!(stage.client().send(&query("all", &[1, 2], 2000).1).status, 200);
+    eventually("its part is in flight", || deployment.parts_received() >= 1);
+    assert_eq!(deployment.client().send(&query("all", &[1, 2], 2000).1).status, 200);
     let answer = waiting.read();
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(begun.elapsed() < Duration::from_millis(1400), "{:?}", begun.elapsed());
-    stage.balanced_stats();
+    deployment.balanced_stats();
 }
 
 #[test]
 fn a_query_s_time_runs_from_its_first_byte() {
-    let stage = Stage::new(&ServerBehavior::Silent);
+    let deployment = Deployment::new(&ServerBehavior::Silent);
     let (_, text) = query("all", &[0], 1500);
-    let mut client = stage.client();
+    let mut client = deployment.client();
     let begun = Instant::now();
     client.write(&text.as_bytes()[..20]);
     std::thread::sleep(Duration::from_millis(1000)); // a slow sender
@@ -159,7 +163,7 @@
 
 #[test]
 fn malformed_requests_get_a_4xx_and_no_part_is_sent() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     let good = query("all", &[0], 2000).1;
     let swap = |from: &str, to: &str| {
         assert!(good.contains(from), "{from}");
@@ -183,7 +187,7 @@
         (with(&body.replace("\"slice\":0", "\"slice\":99")), 400, "bad_shard"),
         (with(r#"{"slices":[{"slice":1,"mass":0.5},{"slice":1,"mass":0.5}]}"#), 400, "shard_twice"),
     ];
-    let mut client = stage.client();
+    let mut client = deployment.client();
     for (text, status, code) in &cases {
         let answer = client.send(text);
         assert_eq!((answer.status, answer.json()["reason"].as_str()), (*status, Some(*code)), "{text}");
@@ -194,32 +198,32 @@
         ("POST /all HTTP/1.1\r\nContent-Length: 70000\r\n\r\n".to_owned(), 413),
         (format!("GET /{} HTTP/1.1\r\n\r\n", "a".repeat(20_000)), 431),
     ] {
-        let mut client = stage.client();
+        let mut client = deployment.client();
         assert_eq!(client.send(&text).status, status);
         assert!(client.is_closed(), "framing is lost");
     }
-    assert_eq!(stage.parts_received(), 1, "only the well-formed query sent its part");
-    let stats = stage.balanced_stats();
+    assert_eq!(deployment.parts_received(), 1, "only the well-formed query sent its part");
+    let stats = deployment.balanced_stats();
     assert_eq!(stats["connections"]["bad_requests"], cases.len() + 3);
 }
 
 #[test]
 fn two_open_queries_cannot_share_an_id() {
-    let stage = Stage::new(&ServerBehavior::Silent);
+    let deployment = Deployment::new(&ServerBehavior::Silent);
     let (_, text) = query("all", &[0], 2500);
-    let mut first = stage.client();
+    let mut first = deployment.client();
     first.write(text.as_bytes());
-    eventually("its part is in flight", || stage.parts_received() >= 1);
-    assert_eq!(stage.client().send(&text).status, 409);
+    eventually("its part is in flight", || deployment.parts_received() >= 1);
+    assert_eq!(deployment.client().send(&text).status, 409);
     assert_eq!(first.read().status, 503);
 }
 
 #[test]
 fn a_query_over_the_in_flight_limit_is_rejected_with_retry_after() {
-    let stage = Stage::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
         config["settings"]["permissions"]["most_held"] = json!(8)
     });
-    let mut client = stage.client();
+    let mut client = deployment.client();
     let shards: Vec<u32> = (0..9).collect();
     let answer = client.send(&query("all", &shards, 1500).1);
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("over_held")));
@@ -229,7 +233,7 @@
         200,
         "a query within the limit is served"
     );
-    let stats = stage.balanced_stats();
+    let stats = deployment.balanced_stats();
     assert_eq!(
         (&stats["queries"]["all"]["over_held"], &stats["queries"]["all"]["taken"]),
         (&json!(1), &json!(1))
@@ -238,8 +242,8 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    let mut client = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let mut client = deployment.client();
     let first = query("all", &[0], 2000);
     let second = query("all", &[1], 2000);
     client.write(format!("{}GET /health/live HTTP/1.1\r\n\r\n{}", first.1, second.1).as_bytes());
@@ -250,13 +254,13 @@
 
 #[test]
 fn a_late_answer_is_dropped_and_counted() {
-    let stage = Stage::new(&ServerBehavior::ServingAfter(Duration::from_millis(900)));
-    let mut client = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::ServingAfter(Duration::from_millis(900)));
+    let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0], 400).1).status, 503);
     eventually("its answer was late", || {
-        stage.program.stats()["attempts"]["late_answers"].as_u64() >= Some(1)
+        deployment.program.stats()["attempts"]["late_answers"].as_u64() >= Some(1)
     });
-    stage.all_servers(&ServerBehavior::Serving);
+    deployment.all_servers(&ServerBehavior::Serving);
     let (id, text) = query("all", &[0], 2000);
     assert!(
         client.send(&text).body.contains(&format!("value of {id}.0")),
--- a/crates/node/tests/retry_safety.rs
+++ b/crates/node/tests/retry_safety.rs
@@ -72,8 +72,8 @@
     status: u16,
 }
 
-fn outcome(effect: &str, doing: &ServerBehavior) -> FaultOutcome {
-    let servers = [Server::start(doing.clone()), Server::start(ServerBehavior::Serving)];
+fn outcome(effect: &str, behavior: &ServerBehavior) -> FaultOutcome {
+    let servers = [Server::start(behavior.clone()), Server::start(ServerBehavior::Serving)];
     let fixture = Fixture::new(effect, &[servers[0].address, servers[1].address], |_| {});
     let mut status = 0;
     eventually("the faulty one gets a part", || {
@@ -102,14 +102,18 @@
         ServerBehavior::FailingAfter(ms(20)),
     ];
     thread::scope(|scope| {
-        for doing in &faults {
+        for behavior in &faults {
             scope.spawn(move || {
                 let retried = FaultOutcome { attempts: 2, status: 200 };
-                assert_eq!(outcome("retryable", doing), retried, "{doing:?}: idempotent");
-                assert_eq!(outcome("dedup", doing), retried, "{doing:?}: within the idempotency window");
+                assert_eq!(outcome("retryable", behavior), retried, "{behavior:?}: idempotent");
+                assert_eq!(
+                    outcome("dedup", behavior),
+                    retried,
+                    "{behavior:?}: within the idempotency window"
+                );
                 // Once only, and its client gets neither an answer nor a rejection.
                 let failed = FaultOutcome { attempts: 1, status: 500 };
-                assert_eq!(outcome("fragile", doing), failed, "{doing:?}: not idempotent");
+                assert_eq!(outcome("fragile", behavior), failed, "{behavior:?}: not idempotent");
             });
         }
     });
@@ -197,19 +201,19 @@
 
 #[test]
 fn a_query_is_rejected_if_no_part_may_have_run_and_fails_otherwise() {
-    for (effect, doing, status) in [
+    for (effect, behavior, status) in [
         ("fragile", ServerBehavior::Rejecting, 503),
         ("dedup", ServerBehavior::Rejecting, 503),
         ("fragile", ServerBehavior::Silent, 500),
         ("dedup", ServerBehavior::Silent, 500),
         ("retryable", ServerBehavior::Silent, 503),
     ] {
-        let servers = [Server::start(doing.clone()), Server::start(doing.clone())];
+        let servers = [Server::start(behavior.clone()), Server::start(behavior.clone())];
         let fixture = Fixture::new(effect, &[servers[0].address, servers[1].address], |config| {
             config["settings"]["quantum"] = json!(QUANTUM.as_micros() as u64);
         });
         let answer = fixture.send_query().read();
-        assert_eq!(answer.status, status, "{effect}, {doing:?}");
+        assert_eq!(answer.status, status, "{effect}, {behavior:?}");
         assert_eq!(answer.headers.contains_key("retry-after"), status == 503);
     }
 }
--- a/crates/node/tests/server_connections.rs
+++ b/crates/node/tests/server_connections.rs
@@ -1,66 +1,66 @@
 //! Connections to index servers: pooled, evicted, replaced, closed, and what their end says of a part.
 
-#[path = "common/stage.rs"]
-mod stage;
+#[path = "common/deployment.rs"]
+mod deployment;
 
+use deployment::Deployment;
 use pinetrestle_standins::{entries, eventually, query, ReservedAddress, Server, ServerBehavior};
 use serde_json::json;
-use stage::Stage;
 
 #[test]
 fn a_refused_connection_never_ran_a_part_and_a_closed_one_may_have() {
     let refusing = ReservedAddress::reserve();
-    let stage = Stage::new(&ServerBehavior::Serving);
-    let mut lines = entries(&stage.servers);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let mut lines = entries(&deployment.servers);
     lines[0]["address"] = json!(refusing.address.to_string());
     lines[3]["address"] = json!(refusing.address.to_string());
-    stage.change_endpoint_list(lines);
-    let answer = stage.client().send(&query("all", &[0], 600).1);
+    deployment.change_endpoint_list(lines);
+    let answer = deployment.client().send(&query("all", &[0], 600).1);
     assert_eq!(answer.status, 503, "{answer:?}");
-    let stats = stage.balanced_stats();
+    let stats = deployment.balanced_stats();
     assert!(stats["attempts"]["connect_failed"].as_u64() >= Some(1));
     assert_eq!(stats["attempts"]["reset"], 0);
     eventually("the refused connection is logged", || {
-        stage.program.close_reasons("index_server").contains(&"connect_refused".to_owned())
+        deployment.program.close_reasons("index_server").contains(&"connect_refused".to_owned())
     });
 
-    stage.servers[1].set_behavior(ServerBehavior::ClosingAfterFrame);
-    stage.servers[4].set_behavior(ServerBehavior::ClosingAfterFrame);
-    let answer = stage.client().send(&query("all", &[1], 600).1);
+    deployment.servers[1].set_behavior(ServerBehavior::ClosingAfterFrame);
+    deployment.servers[4].set_behavior(ServerBehavior::ClosingAfterFrame);
+    let answer = deployment.client().send(&query("all", &[1], 600).1);
     assert_eq!(answer.status, 503, "{answer:?}");
-    assert!(stage.balanced_stats()["attempts"]["reset"].as_u64() >= Some(1));
+    assert!(deployment.balanced_stats()["attempts"]["reset"].as_u64() >= Some(1));
     eventually("the close is logged", || {
-        stage.program.close_reasons("index_server").contains(&"ended_by_peer".to_owned())
+        deployment.program.close_reasons("index_server").contains(&"ended_by_peer".to_owned())
     });
 }
 
 #[test]
 fn a_bad_frame_closes_only_its_connection() {
-    for (doing, reason) in [
+    for (behavior, reason) in [
         (ServerBehavior::SendingInvalidFrame, "bad_frame_length"),
         (ServerBehavior::AnsweringUnknownPart, "unknown_part"),
         (ServerBehavior::ClosingWithinAnswer, "ended_within_frame"),
     ] {
-        let stage = Stage::new(&ServerBehavior::Serving);
-        stage.servers[0].set_behavior(doing.clone());
-        stage.servers[3].set_behavior(doing);
-        let mut client = stage.client();
+        let deployment = Deployment::new(&ServerBehavior::Serving);
+        deployment.servers[0].set_behavior(behavior.clone());
+        deployment.servers[3].set_behavior(behavior);
+        let mut client = deployment.client();
         let answer = client.send(&query("all", &[0], 600).1);
         assert_eq!(answer.status, 503, "{answer:?}");
         eventually("the close is logged", || {
-            stage.program.close_reasons("index_server").contains(&reason.to_owned())
+            deployment.program.close_reasons("index_server").contains(&reason.to_owned())
         });
-        assert!(stage.balanced_stats()["attempts"]["reset"].as_u64() >= Some(1));
+        assert!(deployment.balanced_stats()["attempts"]["reset"].as_u64() >= Some(1));
         assert_eq!(client.send(&query("all", &[1, 2], 2000).1).status, 200, "other servers still serve");
     }
 }
 
 #[test]
 fn parts_of_one_batch_to_one_server_share_a_call() {
-    let stage = Stage::new(&ServerBehavior::Serving);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
     // The three shards of one cell have two replicas: at least one call carries two of them.
-    assert_eq!(stage.client().send(&query("all", &[0, 3, 6], 2000).1).status, 200);
-    let stats = stage.balanced_stats();
+    assert_eq!(deployment.client().send(&query("all", &[0, 3, 6], 2000).1).status, 200);
+    let stats = deployment.balanced_stats();
     assert_eq!(stats["attempts"]["sent"], 3);
     assert!(stats["connections"]["calls"].as_u64() <= Some(2), "{stats}");
 }
@@ -68,12 +68,13 @@
 #[test]
 fn without_a_free_connection_the_attempt_never_ran() {
     // The only connection has a part in flight all the while.
-    let stage =
-        Stage::with(&ServerBehavior::Silent, |config| config["transport"] = json!({"server_connections": 1}));
-    let mut client = stage.client();
+    let deployment = Deployment::with(&ServerBehavior::Silent, |config| {
+        config["transport"] = json!({"server_connections": 1})
+    });
+    let mut client = deployment.client();
     let answer = client.send(&query("all", &[0, 1], 600).1);
     assert_eq!(answer.status, 503, "two cells need two connections: {answer:?}");
-    let stats = stage.balanced_stats();
+    let stats = deployment.balanced_stats();
     assert!(stats["connections"]["servers_none_left"].as_u64() >= Some(1));
     assert!(stats["attempts"]["connect_failed"].as_u64() >= Some(1));
     assert_eq!(stats["connections"]["servers_begun"], 1);
@@ -81,72 +82,82 @@
 
 #[test]
 fn an_idle_server_connection_is_evicted_for_a_needed_one() {
-    let stage = Stage::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"server_connections": 1})
     });
-    let mut client = stage.client();
+    let mut client = deployment.client();
     // Two cells need a connection each, one after the other.
     for _ in 0..3 {
         for shard in [0, 1] {
             assert_eq!(client.send(&query("all", &[shard], 600).1).status, 200);
         }
     }
-    let stats = stage.balanced_stats();
+    let stats = deployment.balanced_stats();
     assert_eq!(stats["connections"]["servers_none_left"], 0);
     assert_eq!(stats["connections"]["servers_begun"], 6);
     assert_eq!(stats["connections"]["servers_open"], 1);
-    let evicted =
-        || stage.program.close_reasons("index_server").iter().filter(|reason| *reason == "made_room").count();
+    let evicted = || {
+        deployment
+            .program
+            .close_reasons("index_server")
+            .iter()
+            .filter(|reason| *reason == "made_room")
+            .count()
+    };
     eventually("five were evicted", || evicted() == 5);
 }
 
 #[test]
 fn a_server_that_restarts_under_its_name_is_reached_at_its_new_address() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    let mut client = stage.client();
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0, 3], 2000).1).status, 200);
     let fresh: Vec<Server> = (0..2).map(|_| Server::start(ServerBehavior::Serving)).collect();
-    let mut lines = entries(&stage.servers);
+    let mut lines = entries(&deployment.servers);
     for (line, server) in [0, 3].into_iter().zip(&fresh) {
         lines[line]["address"] = json!(server.address.to_string());
     }
-    stage.change_endpoint_list(lines);
-    let before = stage.servers[0].received().len() + stage.servers[3].received().len();
+    deployment.change_endpoint_list(lines);
+    let before = deployment.servers[0].received().len() + deployment.servers[3].received().len();
     for _ in 0..4 {
         assert_eq!(client.send(&query("all", &[0, 3], 2000).1).status, 200);
     }
-    assert_eq!(stage.servers[0].received().len() + stage.servers[3].received().len(), before);
+    assert_eq!(deployment.servers[0].received().len() + deployment.servers[3].received().len(), before);
     assert!(fresh.iter().map(|server| server.received().len()).sum::<usize>() >= 8);
     eventually("old connections are closed", || {
-        stage.program.close_reasons("index_server").contains(&"replaced".to_owned())
+        deployment.program.close_reasons("index_server").contains(&"replaced".to_owned())
     });
 }
 
 #[test]
 fn a_draining_server_gets_no_new_parts() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    let mut lines = entries(&stage.servers);
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let mut lines = entries(&deployment.servers);
     lines[0]["status"] = json!("draining");
-    stage.change_endpoint_list(lines);
-    let mut client = stage.client();
+    deployment.change_endpoint_list(lines);
+    let mut client = deployment.client();
     for _ in 0..6 {
         assert_eq!(client.send(&query("all", &[0, 3, 6], 2000).1).status, 200);
     }
-    assert_eq!(stage.servers[0].received().len(), 0);
-    assert_eq!(stage.servers[3].received().len(), 18);
+    assert_eq!(deployment.servers[0].received().len(), 0);
+    assert_eq!(deployment.servers[3].received().len(), 18);
 }
 
 #[test]
 fn idle_server_connections_are_closed_by_the_node_first() {
-    let stage = Stage::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
         config["settings"]["permissions"]["conn_idle"] = json!(400_000);
     });
-    let mut client = stage.client();
+    let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).1).status, 200);
     eventually("they are closed as idle", || {
-        stage.program.close_reasons("index_server").iter().filter(|reason| *reason == "idle").count() >= 3
+        deployment.program.close_reasons("index_server").iter().filter(|reason| *reason == "idle").count()
+            >= 3
     });
-    assert_eq!(stage.program.stats()["connections"]["servers_open"], 0);
+    assert_eq!(deployment.program.stats()["connections"]["servers_open"], 0);
     assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).1).status, 200);
-    assert!(stage.servers.iter().map(Server::accepted_connections).sum::<u64>() >= 6, "new ones are opened");
+    assert!(
+        deployment.servers.iter().map(Server::accepted_connections).sum::<u64>() >= 6,
+        "new ones are opened"
+    );
 }
--- a/crates/node/tests/server_stalls.rs
+++ b/crates/node/tests/server_stalls.rs
@@ -17,14 +17,14 @@
 }
 
 /// Six index servers, two in each of three cells, and a front node.
-struct Stage {
+struct Deployment {
     servers: Vec<TimestampingServer>,
     program: FrontNode,
     _discovery: Discovery,
 }
 
-impl Stage {
-    fn new(work: &WorkProfile) -> Stage {
+impl Deployment {
+    fn new(work: &WorkProfile) -> Deployment {
         let servers: Vec<TimestampingServer> =
             (0..6).map(|_| TimestampingServer::start(work.clone())).collect();
         let discovery = Discovery::start(entries_at(servers.iter().map(|server| server.address)));
@@ -32,7 +32,7 @@
         config["settings"]["permissions"]["most_held"] = 1000.into();
         config["settings"]["permissions"]["streams_per_conn"] = work.max_parts_per_connection.into();
         let program = FrontNode::start_ready(NODE, &config);
-        Stage { servers, program, _discovery: discovery }
+        Deployment { servers, program, _discovery: discovery }
     }
 
     /// Clients that send one query after the other until `over` is set.
@@ -65,18 +65,18 @@
         service_times,
         ..WorkProfile::default()
     };
-    let stage = Stage::new(&work);
+    let deployment = Deployment::new(&work);
     let over = Arc::new(AtomicBool::new(false));
-    let load = stage.load(12, ms(40), &over);
-    eventually("typical latencies are known", || stage.attempts("ok") > 400);
-    let before = stage.attempts("further");
+    let load = deployment.load(12, ms(40), &over);
+    eventually("typical latencies are known", || deployment.attempts("ok") > 400);
+    let before = deployment.attempts("further");
     for _ in 0..12 {
-        stage.servers.iter().for_each(TimestampingServer::stop_reading);
+        deployment.servers.iter().for_each(TimestampingServer::stop_reading);
         thread::sleep(ms(250));
-        stage.servers.iter().for_each(TimestampingServer::resume_reading);
+        deployment.servers.iter().for_each(TimestampingServer::resume_reading);
         thread::sleep(ms(150));
     }
-    let retries = stage.attempts("further") - before;
+    let retries = deployment.attempts("further") - before;
     over.store(true, Ordering::Relaxed);
     load.into_iter().for_each(|client| client.join().expect("served all along"));
     assert!(retries <= 20, "{retries} retries in twelve stalls");
--- a/crates/node/tests/start_and_stop.rs
+++ b/crates/node/tests/start_and_stop.rs
@@ -1,14 +1,14 @@
 //! The program's start and end: configuration errors, SIGTERM, a kill and a restart.
 
-#[path = "common/stage.rs"]
-mod stage;
+#[path = "common/deployment.rs"]
+mod deployment;
 
+use deployment::Deployment;
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, failed_start, failed_start_with_env, query, FrontNode,
     ServerBehavior,
 };
 use serde_json::{json, Value};
-use stage::Stage;
 use std::net::TcpListener;
 use std::time::Duration;
 
@@ -71,51 +71,53 @@
 
 #[test]
 fn on_sigterm_open_queries_are_answered_before_the_exit() {
-    let mut stage = Stage::with(&ServerBehavior::ServingAfter(Duration::from_millis(400)), |config| {
-        config["transport"] = json!({"hand_over_ms": 2000, "stop_within_ms": 8000});
-    });
-    let mut idle = stage.client();
+    let mut deployment =
+        Deployment::with(&ServerBehavior::ServingAfter(Duration::from_millis(400)), |config| {
+            config["transport"] = json!({"hand_over_ms": 2000, "stop_within_ms": 8000});
+        });
+    let mut idle = deployment.client();
     assert_eq!(idle.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
-    let mut open = stage.client();
+    let mut open = deployment.client();
     open.write(query("all", &[0, 1], 2000).1.as_bytes());
-    eventually("its parts are in flight", || stage.parts_received() >= 2);
-    stage.program.terminate();
-    eventually("it is not ready any more", || stage.program.get("/health/ready").0 == 503);
+    eventually("its parts are in flight", || deployment.parts_received() >= 2);
+    deployment.program.terminate();
+    eventually("it is not ready any more", || deployment.program.get("/health/ready").0 == 503);
     // The load balancer has not noticed yet: old and new connections are still served.
-    stage.all_servers(&ServerBehavior::Serving);
+    deployment.all_servers(&ServerBehavior::Serving);
     assert_eq!(idle.send(&query("all", &[2], 2000).1).status, 200);
-    assert_eq!(stage.client().send(&query("all", &[2], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[2], 2000).1).status, 200);
     let answer = open.read();
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(idle.is_closed(), "an idle connection is closed");
-    assert_eq!(stage.program.wait_for_exit(), Some(0));
-    let lines = stage.program.log_lines();
+    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    let lines = deployment.program.log_lines();
     let counters = lines.iter().find(|line| line.contains("msg=\"counters\"")).expect("counters at exit");
     assert!(counters.contains("\\\"whole\\\":3"), "{counters}");
 }
 
 #[test]
 fn on_sigterm_queries_that_cannot_be_answered_are_failed_before_the_exit() {
-    let mut stage =
-        Stage::with(&ServerBehavior::Silent, |config| config["transport"] = json!({"stop_within_ms": 900}));
-    let mut open = stage.client();
+    let mut deployment = Deployment::with(&ServerBehavior::Silent, |config| {
+        config["transport"] = json!({"stop_within_ms": 900})
+    });
+    let mut open = deployment.client();
     open.write(query("all", &[0, 1], 3000).1.as_bytes());
-    eventually("its parts are in flight", || stage.parts_received() >= 2);
-    stage.program.terminate();
+    eventually("its parts are in flight", || deployment.parts_received() >= 2);
+    deployment.program.terminate();
     let answer = open.read();
     assert!(answer.status == 500 || answer.status == 503, "{answer:?}");
-    assert_eq!(stage.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.program.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_killed_node_restarts_under_its_name_and_address() {
-    let mut stage = Stage::new(&ServerBehavior::Serving);
-    assert_eq!(stage.client().send(&query("all", &[0], 2000).1).status, 200);
-    let address = stage.program.address;
-    stage.program.kill();
-    let known = endpoint_list(1, &entries(&stage.servers));
-    let config = config_json(&address.to_string(), &stage.discovery.address.to_string(), &known);
-    stage.program = FrontNode::start_ready(NODE, &config);
-    assert_eq!(stage.program.address, address);
-    assert_eq!(stage.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
+    let mut deployment = Deployment::new(&ServerBehavior::Serving);
+    assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
+    let address = deployment.program.address;
+    deployment.program.kill();
+    let known = endpoint_list(1, &entries(&deployment.servers));
+    let config = config_json(&address.to_string(), &deployment.discovery.address.to_string(), &known);
+    deployment.program = FrontNode::start_ready(NODE, &config);
+    assert_eq!(deployment.program.address, address);
+    assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
 }
