--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -1,4 +1,5 @@
-//! Floods of connections, slow senders and slow readers: capacity is bounded, and other clients are served.
+//! Connection floods, slow senders and slow readers: the front node bounds the resources that they take and
+//! goes on serving other clients.
 
 #[path = "common/deployment.rs"]
 mod deployment;
@@ -13,9 +14,11 @@
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
 
 #[test]
-fn a_flood_of_connections_prevents_no_answer() {
+fn other_clients_are_answered_during_a_connection_flood() {
     let mut deployment =
-        Deployment::with(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
+        Deployment::with_config(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
+    // 64 descriptors, less 24 for other uses and 13 for connections to index servers. The default limit is
+    // lower still, because descriptors are also set aside for evicted connections that linger.
     let max_clients = 64 - 24 - 13;
     let mut flood: Vec<Client> = (0..max_clients * 3).map(|_| deployment.client()).collect();
     let mut client = deployment.client();
@@ -32,7 +35,7 @@
 }
 
 #[test]
-fn a_flood_under_a_lower_descriptor_limit_prevents_no_answer() {
+fn other_clients_are_answered_during_a_flood_under_a_low_descriptor_limit() {
     let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
     let config =
@@ -50,13 +53,14 @@
 
 #[test]
 fn slow_senders_time_out_and_delay_no_other_client() {
-    let deployment =
-        Deployment::with(&ServerBehavior::Serving, |config| config["transport"] = json!({"request_ms": 300}));
-    let mut slow = deployment.client();
-    slow.write(b"POST /all HTTP/1.1\r\nContent-Le");
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+        config["transport"] = json!({"request_ms": 300})
+    });
+    let mut slow_client = deployment.client();
+    slow_client.write(b"POST /all HTTP/1.1\r\nContent-Le");
     assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
-    assert_eq!(slow.read().status, 408);
-    assert!(slow.is_closed());
+    assert_eq!(slow_client.read().status, 408);
+    assert!(slow_client.is_closed());
     eventually("the close is logged", || {
         deployment.program.close_reasons("client").contains(&"request_timeout".to_owned())
     });
@@ -65,28 +69,30 @@
 #[test]
 fn many_slow_bodies_stay_within_bounded_memory() {
     let deployment = Deployment::new(&ServerBehavior::Serving);
-    let part = format!("POST /all HTTP/1.1\r\nContent-Length: 65000\r\n\r\n{}", " ".repeat(60_000));
-    let mut slow: Vec<Client> = (0..300).map(|_| deployment.client()).collect();
-    for client in &mut slow {
-        client.write(part.as_bytes());
+    // Each body stays 5000 bytes short of the announced length.
+    let incomplete_request =
+        format!("POST /all HTTP/1.1\r\nContent-Length: 65000\r\n\r\n{}", " ".repeat(60_000));
+    let mut slow_clients: Vec<Client> = (0..300).map(|_| deployment.client()).collect();
+    for client in &mut slow_clients {
+        client.write(incomplete_request.as_bytes());
     }
-    eventually("all of it is read", || {
+    eventually("all bodies are read", || {
         deployment.program.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
     });
     assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
     let peak = deployment.program.peak_memory_kb();
-    assert!(peak < 64 * 1024, "{peak} kB for 18 MB of bodies");
+    assert!(peak < 64 * 1024, "peak memory of {peak} kB for 18 MB of bodies");
 }
 
 #[test]
 fn a_client_that_reads_no_responses_is_closed() {
-    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"answer_write_ms": 200})
     });
-    let mut unread = deployment.client();
-    // More answers than the kernel's buffers hold.
-    unread.write("GET /stats HTTP/1.1\r\n\r\n".repeat(8000).as_bytes());
-    eventually("it is closed", || {
+    let mut client = deployment.client();
+    // The responses to these requests exceed the socket buffers of the kernel, so writing them blocks.
+    client.write("GET /stats HTTP/1.1\r\n\r\n".repeat(8000).as_bytes());
+    eventually("the close is logged", || {
         deployment.program.close_reasons("client").contains(&"write_stalled".to_owned())
     });
     assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
@@ -94,13 +100,14 @@
 
 #[test]
 fn an_unread_log_does_not_stall_the_node() {
-    // The program's output goes into a pipe that the test never reads.
+    // The log goes to a pipe. The test reads the line that names the listen address and nothing after it.
     let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
     let config =
         config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
     let program = pinetrestle_standins::FrontNodeWithUnreadLog::start(NODE, &config);
-    // Each connection logs a line of over a hundred bytes; the pipe holds 64 KiB.
+    // Each connection logs a line of more than 100 bytes, and the pipe holds 64 KiB: 2500 connections
+    // overfill it.
     for _ in 0..2500 {
         Client::connect(program.address).send("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
     }
--- a/crates/node/tests/close_reasons.rs
+++ b/crates/node/tests/close_reasons.rs
@@ -1,4 +1,4 @@
-//! The close reasons of the log, and the page for those on call that explains them.
+//! Checks the codes of connection close reasons, as logged, against the on-call page that explains them.
 
 use pinetrestle_node::close_reason::CloseReason;
 use pinetrestle_protocol::frames::FrameError;
@@ -11,10 +11,10 @@
     codes.extend(HttpError::ALL.iter().map(|error| error.code()));
     codes.extend(FrameError::ALL.iter().map(|error| error.code()));
     for code in &codes {
-        assert!(page.contains(&format!("`{code}`")), "{code} is not explained");
+        assert!(page.contains(&format!("`{code}`")), "{code} is not explained on the on-call page");
     }
     let count = codes.len();
     codes.sort_unstable();
     codes.dedup();
-    assert_eq!(codes.len(), count);
+    assert_eq!(codes.len(), count, "two reasons share a code");
 }
--- a/crates/node/tests/common/deployment.rs
+++ b/crates/node/tests/common/deployment.rs
@@ -1,12 +1,17 @@
-//! Six index servers, discovery and the front node's program on sockets.
-#![allow(dead_code)] // each test file uses its own part of it
+//! A front node process with six index servers and a discovery service, connected over loopback sockets.
+//!
+//! The front node is the program under test; the index servers and the discovery service are stand-ins that
+//! run on threads of the test process.
+#![allow(dead_code)] // each test file uses only some of these items
 
 use pinetrestle_standins::{eventually, query, Client, Discovery, FrontNode, Server, ServerBehavior};
 use serde_json::Value;
 
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
 
-/// Six index servers, two in each of three cells, with discovery and a front node.
+/// A front node with a discovery service and six index servers, two in each of three cells.
+///
+/// Server `n` is in cell `n % 3` and is a replica of every shard whose number has the same remainder.
 pub struct Deployment {
     pub servers: Vec<Server>,
     pub discovery: Discovery,
@@ -14,61 +19,67 @@
 }
 
 impl Deployment {
-    /// With something changed in the front node's configuration.
-    pub fn with(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> Deployment {
+    /// Starts index servers with this behavior, and a front node with the configuration as edited by
+    /// `change`. Returns once the front node is ready.
+    pub fn with_config(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> Deployment {
         let pinetrestle_standins::SmallDeployment { servers, discovery, program } =
             pinetrestle_standins::SmallDeployment::start(NODE, behavior, change);
         Deployment { servers, discovery, program }
     }
 
+    /// Starts index servers with this behavior and a front node with the default configuration.
     pub fn new(behavior: &ServerBehavior) -> Deployment {
-        Deployment::with(behavior, |_| {})
+        Deployment::with_config(behavior, |_| {})
     }
 
+    /// Opens a connection to the front node.
     pub fn client(&self) -> Client {
         Client::connect(self.program.address)
     }
 
-    /// What all index servers do from now on.
-    pub fn all_servers(&self, behavior: &ServerBehavior) {
+    /// Sets the behavior of every index server from now on.
+    pub fn set_all_behaviors(&self, behavior: &ServerBehavior) {
         self.servers.iter().for_each(|server| server.set_behavior(behavior.clone()));
     }
 
     /// Changes the endpoint list and waits until the front node has applied it.
-    pub fn change_endpoint_list(&self, lines: Vec<Value>) {
-        let lists = || self.program.stats()["discovery"]["lists"].as_u64();
-        eventually("a watch is open", || lists() >= Some(1));
-        let before = lists();
-        self.discovery.set_entries(lines);
-        eventually("the change is applied", || lists() > before);
+    pub fn change_endpoint_list(&self, entries: Vec<Value>) {
+        let lists_received = || self.program.stats()["discovery"]["lists"].as_u64();
+        eventually("a watch is open", || lists_received() >= Some(1));
+        let before = lists_received();
+        self.discovery.set_entries(entries);
+        eventually("the changed list is applied", || lists_received() > before);
     }
 
-    /// A query to three shards is answered.
+    /// Asserts that a query of the class `all` for one shard of each cell gets status 200.
     pub fn assert_serves(&self) {
         let answer = self.client().send(&query("all", &[0, 1, 2], 2000).1);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
 
-    /// Parts that the index servers have received.
+    /// Returns the number of parts that the index servers have received so far, all together.
     pub fn parts_received(&self) -> usize {
         self.servers.iter().map(|server| server.received().len()).sum()
     }
 
-    /// Ids of parts whose cancels the index servers have received.
+    /// Returns the ids of the parts that the index servers have been told to cancel.
     pub fn parts_cancelled(&self) -> Vec<String> {
         self.servers.iter().flat_map(Server::cancelled_parts).collect()
     }
 
-    /// Waits until nothing is in flight, checks that the counters agree with one another, and returns them.
-    pub fn balanced_stats(&self) -> Value {
-        eventually("nothing is in flight", || {
+    /// Returns the counters once no query or attempt is in flight, and asserts that their totals agree.
+    ///
+    /// In each class, the number of queries taken must equal the sum of their outcomes. The number of
+    /// attempts sent must equal the sum of the outcomes of attempts.
+    pub fn checked_stats(&self) -> Value {
+        eventually("no query or attempt is in flight", || {
             let stats = self.program.stats();
-            let held = stats["queries"].as_object().expect("classes").values().map(|class| &class["held"]);
-            held.clone().all(|held| *held == 0) && stats["attempts"]["out"] == 0
+            let mut classes = stats["queries"].as_object().expect("classes").values();
+            classes.all(|class| class["held"] == 0) && stats["attempts"]["out"] == 0
         });
         let stats = self.program.stats();
-        let sum = |of: &Value, keys: &[&str]| {
-            keys.iter().map(|key| of[key].as_u64().expect("a count")).sum::<u64>()
+        let sum = |counters: &Value, keys: &[&str]| {
+            keys.iter().map(|key| counters[key].as_u64().expect("a count")).sum::<u64>()
         };
         for (name, class) in stats["queries"].as_object().expect("classes") {
             let ended = sum(class, &["whole", "partial", "refused", "failed", "gone"]);
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -1,5 +1,7 @@
-//! Bytes and signals that cross a connection's close. The race is forced: the program is paused, both events are put
-//! before it, and it finds both when it resumes.
+//! Bytes and signals that arrive while the front node closes a connection.
+//!
+//! The races are forced: the test pauses the front node (SIGSTOP), causes both events, and resumes it, so
+//! that it finds both at once.
 
 use pinetrestle_standins::{eventually, query, Client, ServerBehavior, SmallDeployment};
 use serde_json::{json, Value};
@@ -9,8 +11,8 @@
 
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
 
-fn ms(span: u64) -> Duration {
-    Duration::from_millis(span)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 fn start_with(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
@@ -21,52 +23,56 @@
     start_with(&ServerBehavior::Serving, |config| config["transport"] = transport)
 }
 
-/// A client whose connection is idle after a response.
+/// Returns a client whose connection is idle after one answered query.
 fn idle_client(deployment: &SmallDeployment) -> Client {
     let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
     client
 }
 
-/// The front node has closed the connection without a reset, also while more bytes arrive.
+/// Asserts that the front node closes the connection without a reset, also when more bytes arrive after its
+/// close.
+///
+/// A reset could discard a response that the client has not read yet.
 fn assert_closed_without_reset(client: &mut Client) {
     let mut byte = [0];
-    let end = loop {
+    let read = loop {
         match client.stream.read(&mut byte).map_err(|error| error.kind()) {
             Err(ErrorKind::Interrupted) => {}
-            end => break end,
+            read => break read,
         }
     };
-    assert_eq!(end, Ok(0), "a close, no reset");
+    assert_eq!(read, Ok(0), "the connection is closed, not reset");
     client.write(query("all", &[1], 2000).1.as_bytes());
     thread::sleep(ms(30));
-    let error = client.stream.get_ref().take_error().expect("it can be asked");
-    assert!(error.is_none(), "bytes that cross the close are discarded: {error:?}");
+    let error = client.stream.get_ref().take_error().expect("the socket error can be read");
+    assert!(error.is_none(), "bytes that arrive after the close are discarded without a reset: {error:?}");
 }
 
 #[test]
 fn sigterm_serves_connections_and_requests_queued_in_the_kernel() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 200, "stop_within_ms": 3000}));
-    let mut half = deployment.client();
+    let mut incomplete = deployment.client();
     let text = query("all", &[0, 1], 2000).1;
-    half.write(&text.as_bytes()[..60]);
-    eventually("its bytes are read", || {
+    incomplete.write(&text.as_bytes()[..60]);
+    eventually("the first bytes of its request are read", || {
         deployment.program.stats()["connections"]["client_bytes_in"].as_u64() > Some(60)
     });
     deployment.program.pause();
-    // Accepted by the kernel only: without a byte, and with a complete request.
-    let mut bare = deployment.client();
+    // While the front node is paused only the kernel accepts: one connection without a byte, one with a
+    // complete request.
+    let mut without_bytes = deployment.client();
     let mut complete = deployment.client();
     complete.write(query("all", &[0, 1], 2000).1.as_bytes());
     deployment.program.terminate();
-    thread::sleep(ms(400)); // the hand-over period is over when it resumes
+    thread::sleep(ms(400)); // the hand-over period is over when the front node resumes
     deployment.program.resume();
     assert_eq!(complete.read().status, 200);
-    // The rest of the request arrives while the front node closes.
-    half.write(&text.as_bytes()[60..]);
-    assert_eq!(half.read().status, 200);
-    assert_eq!(bare.send(&query("all", &[2], 2000).1).status, 200);
-    for client in [&mut half, &mut bare, &mut complete] {
+    // The remaining bytes of the request arrive while the front node closes its connections.
+    incomplete.write(&text.as_bytes()[60..]);
+    assert_eq!(incomplete.read().status, 200);
+    assert_eq!(without_bytes.send(&query("all", &[2], 2000).1).status, 200);
+    for client in [&mut incomplete, &mut without_bytes, &mut complete] {
         assert!(client.is_closed());
     }
     assert_eq!(deployment.program.wait_for_exit(), Some(0));
@@ -75,26 +81,29 @@
 #[test]
 fn an_incomplete_request_is_answered_before_shutdown_ends() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 600}));
-    let mut half = deployment.client();
-    half.write(&query("all", &[0, 1], 2000).1.as_bytes()[..60]);
-    let begun = Instant::now();
+    let mut incomplete = deployment.client();
+    incomplete.write(&query("all", &[0, 1], 2000).1.as_bytes()[..60]);
+    let started = Instant::now();
     deployment.program.terminate();
-    let answer = half.read();
+    let answer = incomplete.read();
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("stopping")));
-    assert!(half.is_closed() && begun.elapsed() < ms(1500), "{:?}", begun.elapsed());
+    assert!(incomplete.is_closed() && started.elapsed() < ms(1500), "{:?}", started.elapsed());
     assert_eq!(deployment.program.wait_for_exit(), Some(0));
     assert_eq!(deployment.received(), 0);
 }
 
 #[test]
-fn a_request_that_arrives_with_sigterm_or_with_closing_is_answered() {
-    // The request is read in the same wake-up as the signal, and as the end of the hand-over period.
+fn a_request_that_arrives_with_sigterm_or_at_the_end_of_the_hand_over_period_is_answered() {
+    // The front node finds the request at the same wake-up as the signal in the first case, and as the end of
+    // the hand-over period in the second.
     for (hand_over, paused) in [(2000, 50), (200, 500)] {
         let mut deployment = start_with_transport(json!({"hand_over_ms": hand_over, "stop_within_ms": 3000}));
         let mut client = idle_client(&deployment);
         if hand_over < paused {
             deployment.program.terminate();
-            eventually("it is stopping", || deployment.program.count_log_lines(&["msg=\"stopping\""]) == 1);
+            eventually("the shutdown has begun", || {
+                deployment.program.count_log_lines(&["msg=\"stopping\""]) == 1
+            });
         }
         deployment.program.pause();
         client.write(query("all", &[0, 1], 2000).1.as_bytes());
@@ -114,7 +123,7 @@
     let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 3000}));
     let mut client = idle_client(&deployment);
     deployment.program.terminate();
-    eventually("it is stopping", || deployment.program.count_log_lines(&["msg=\"stopping\""]) == 1);
+    eventually("the shutdown has begun", || deployment.program.count_log_lines(&["msg=\"stopping\""]) == 1);
     deployment.program.pause();
     let text: String = (0..5).map(|_| query("all", &[0], 2000).1).collect();
     client.write(text.as_bytes());
@@ -122,58 +131,62 @@
     deployment.program.resume();
     let answers: Vec<_> = (0..5).map(|_| client.read()).collect();
     assert!(answers.iter().all(|answer| answer.status == 200), "{answers:?}");
-    let says_close: Vec<bool> =
+    let announces_close: Vec<bool> =
         answers.iter().map(|answer| answer.headers.contains_key("connection")).collect();
-    assert_eq!(says_close, [false, false, false, false, true]);
+    assert_eq!(announces_close, [false, false, false, false, true]);
     assert!(client.is_closed());
     assert_eq!(deployment.program.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn responses_half_written_at_shutdown_are_completed() {
+fn partly_written_responses_are_completed_at_shutdown() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 4000}));
     let mut client = deployment.client();
     socket2::SockRef::from(client.stream.get_ref()).set_recv_buffer_size(64 * 1024).expect("set");
-    // More responses than the buffers between hold, and none is read.
-    let asked = 3000;
+    // The responses exceed the socket buffers on both sides, and the client reads none of them yet.
+    let requests = 3000;
     let mut writer = client.stream.get_ref().try_clone().expect("a second handle");
     let sender = thread::spawn(move || {
-        let one = "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n".repeat(10);
-        // The front node closes the connection at some request; what is sent after that fails or is discarded.
-        (0..asked / 10).all(|_| std::io::Write::write_all(&mut writer, one.as_bytes()).is_ok())
+        let batch = "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n".repeat(10);
+        // The front node closes the connection after some request; later writes fail or are discarded.
+        (0..requests / 10).all(|_| std::io::Write::write_all(&mut writer, batch.as_bytes()).is_ok())
     });
-    let written = || deployment.program.stats()["connections"]["client_bytes_out"].as_u64();
-    let mut before = written();
-    eventually("a response is blocked", || {
+    let bytes_written = || deployment.program.stats()["connections"]["client_bytes_out"].as_u64();
+    let mut before = bytes_written();
+    eventually("the front node's writes are blocked", || {
         thread::sleep(ms(100));
-        let now = written();
+        let now = bytes_written();
         let blocked = now < before.map(|bytes| bytes + 20_000);
         before = now;
         blocked
     });
     deployment.program.terminate();
-    eventually("it is closing", || {
+    eventually("the shutdown has begun", || {
         deployment.program.count_log_lines(&["reason=shutdown"])
             + deployment.program.count_log_lines(&["msg=\"stopping\""])
             >= 1
     });
     thread::sleep(ms(200));
     let mut complete = 0;
-    let mut last = None;
+    let mut connection_header = None;
     while let Some(answer) = client.try_read() {
         assert_eq!(answer.status, 200);
-        assert!(answer.json().is_object(), "complete");
-        last = answer.headers.get("connection").cloned();
+        assert!(answer.json().is_object(), "the body is complete");
+        connection_header = answer.headers.get("connection").cloned();
         complete += 1;
-        if last.is_some() {
+        if connection_header.is_some() {
             break;
         }
     }
     assert!(complete > 1);
-    assert_eq!(last.as_deref(), Some("close"), "the last of {complete} announces the close");
+    assert_eq!(
+        connection_header.as_deref(),
+        Some("close"),
+        "the last of {complete} responses announces the close"
+    );
     assert!(client.is_closed());
     drop(client);
-    sender.join().expect("the sender ends");
+    sender.join().expect("the sender did not panic");
     assert_eq!(deployment.program.wait_for_exit(), Some(0));
 }
 
@@ -183,12 +196,16 @@
     let mut client = idle_client(&deployment);
     deployment.program.pause();
     client.write(query("all", &[0], 2000).1.as_bytes());
-    thread::sleep(ms(400)); // both are there when it resumes: the request and the idle timeout
+    thread::sleep(ms(400)); // the request arrives and the idle timeout passes before the front node resumes
     deployment.program.resume();
     assert_eq!(client.read().status, 200);
     let before = deployment.received();
     assert_closed_without_reset(&mut client);
-    assert_eq!(deployment.received(), before, "what arrives after the half-close is never forwarded");
+    assert_eq!(
+        deployment.received(),
+        before,
+        "a request that arrives after the half-close is never forwarded"
+    );
     eventually("the close is logged", || {
         deployment.program.close_reasons("client").contains(&"idle".to_owned())
     });
@@ -213,20 +230,25 @@
     });
     let before = deployment.received();
     assert_closed_without_reset(&mut oldest);
-    assert_eq!(newcomer.join().expect("it gets an answer"), 200);
-    assert!(deployment.received() <= before + 1, "what arrives after the half-close is never forwarded");
+    assert_eq!(newcomer.join().expect("the newcomer is answered"), 200);
+    assert!(
+        deployment.received() <= before + 1,
+        "a request that arrives after the half-close is never forwarded"
+    );
     drop(others);
 }
 
 #[test]
-fn the_longest_idle_connections_are_evicted_before_the_bound_is_reached() {
-    // A sixteenth of 32 places is kept free: a client of a flood finds one without waiting for another's close.
+fn the_longest_idle_connections_are_evicted_before_the_limit_is_reached() {
+    // A sixteenth of the 32 places for client connections is kept free, so that a newcomer in a flood gets a
+    // place without waiting for another connection to close.
     let deployment = start_with_transport(json!({"client_connections": 32}));
     let mut oldest = idle_client(&deployment);
     let mut others: Vec<Client> = (0..28).map(|_| idle_client(&deployment)).collect();
     let open = || deployment.program.stats()["connections"]["clients_open"].as_u64().expect("a count");
-    // The request for the counters occupies a place itself and releases it each time.
-    eventually("29 are idle and three places are free", || open() == 30);
+    // Each request for the counters uses a connection of its own, which is counted: 29 idle connections and
+    // this one.
+    eventually("29 connections are idle and three places are free", || open() == 30);
     assert!(!deployment.program.close_reasons("client").iter().any(|reason| reason == "made_room"));
     others.push(idle_client(&deployment));
     assert_closed_without_reset(&mut oldest);
@@ -246,7 +268,7 @@
 }
 
 #[test]
-fn a_connection_closed_as_requested_delivers_its_response_though_more_arrives() {
+fn a_response_with_connection_close_is_delivered_while_more_bytes_arrive() {
     let deployment = start_with_transport(json!({}));
     for _ in 0..20 {
         let mut client = deployment.client();
@@ -258,8 +280,8 @@
         deployment.program.resume();
         assert_eq!(client.read().status, 200);
         let mut rest = Vec::new();
-        let end = client.stream.read_to_end(&mut rest).map_err(|error| error.kind());
-        assert_eq!(end, Ok(0), "no reset, no further response");
+        let read = client.stream.read_to_end(&mut rest).map_err(|error| error.kind());
+        assert_eq!(read, Ok(0), "no reset and no further response");
     }
     assert_eq!(deployment.received(), 20, "the second request is never forwarded");
 }
@@ -272,7 +294,7 @@
         });
         let mut client = deployment.client();
         client.write(query("all", &[0, 1], 2000).1.as_bytes());
-        eventually("its parts are in flight", || deployment.received() >= 2);
+        eventually("the parts are in flight", || deployment.received() >= 2);
         deployment.program.pause();
         order.iter().for_each(|signal| deployment.program.signal(signal));
         deployment.program.resume();
@@ -282,13 +304,13 @@
         assert_eq!(deployment.program.wait_for_exit(), Some(0), "{order:?}");
         assert_eq!(deployment.program.count_log_lines(&["msg=\"stopping\""]), 1, "{order:?}");
     }
-    // The watch of discovery stays open to the end.
+    // The watch on discovery stays open and is not opened again and again.
     let deployment = start_with_transport(json!({}));
     assert!(deployment.discovery.watch_count() <= 2);
 }
 
 #[test]
-fn after_the_exit_connections_are_refused() {
+fn connections_are_refused_after_the_exit() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 50, "stop_within_ms": 500}));
     deployment.program.terminate();
     assert_eq!(deployment.program.wait_for_exit(), Some(0));
--- a/crates/node/tests/counters.rs
+++ b/crates/node/tests/counters.rs
@@ -1,10 +1,11 @@
-//! The JSON report of the counters: its keys are a wire form of `/stats`, whatever the fields are called.
+//! The JSON report of the counters, which `/stats` returns: clients depend on its keys, so they stay the same
+//! when a Rust field is renamed.
 
 use pinetrestle_node::counters::Counters;
 use serde_json::json;
 
 #[test]
-fn the_report_keeps_the_keys_of_the_stats_page() {
+fn the_report_has_the_keys_of_the_stats_response() {
     let counters = Counters::new(&["any".to_owned()]);
     let class = &counters.classes[0].queries;
     class.admitted.add(2);
--- a/crates/node/tests/deployment_isolation.rs
+++ b/crates/node/tests/deployment_isolation.rs
@@ -1,5 +1,5 @@
-//! Front nodes of different deployments on one machine: nothing of one shows in the other, also where a new
-//! configuration is the other deployment's.
+//! Two front nodes of different deployments on one machine share no classes, tenants, limits or names, even
+//! when one of them is told to load the configuration of the other.
 
 use pinetrestle_node::config::DeploymentNames;
 use pinetrestle_protocol::names::WireNames;
@@ -12,6 +12,7 @@
 
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
 
+/// A front node with its discovery service and three index servers.
 struct Deployment {
     servers: Vec<Server>,
     _discovery: Discovery,
@@ -20,6 +21,7 @@
 }
 
 impl Deployment {
+    /// Starts a front node with these command line arguments and the configuration as edited by `change`.
     fn new(arguments: &str, change: impl FnOnce(&mut Value)) -> Deployment {
         let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
         let discovery = Discovery::start(entries(&servers));
@@ -28,18 +30,19 @@
         change(&mut config);
         let program = FrontNode::start(&format!("{NODE} {arguments}"), &config);
         let deployment = Deployment { servers, _discovery: discovery, program, config };
-        eventually("it serves", || deployment.program.count_log_lines(&["msg=\"serving\""]) == 1);
+        eventually("the front node serves", || deployment.program.count_log_lines(&["msg=\"serving\""]) == 1);
         deployment
     }
 
+    /// Sends a request and returns the status and the body of the response.
     fn send(&self, text: &str) -> (u16, Value) {
         let answer = Client::connect(self.program.address).send(text);
         (answer.status, answer.json())
     }
 }
 
-/// The second deployment's classes, tenant, limits and deadlines.
-fn other_settings(config: &mut Value) {
+/// Gives a configuration the name, classes, tenant, limits and deadlines of the second deployment.
+fn use_second_settings(config: &mut Value) {
     config["name"] = json!("harbour-7");
     for (class, name) in ["berth", "manifest", "customs"].iter().enumerate() {
         config["settings"]["classes"][class]["name"] = json!(name);
@@ -52,63 +55,75 @@
     config["settings"]["permissions"]["most_held"] = json!(7);
 }
 
+/// Returns a query of the second deployment's tenant.
 fn second_query(class: &str, shards: &[u32]) -> String {
     query(class, shards, 2000).1.replace("X-Customer: north", "X-Customer: pier")
 }
 
 #[test]
 fn classes_tenants_and_limits_are_not_shared_between_deployments() {
-    let (one, two) = (Deployment::new("", |_| {}), Deployment::new("", other_settings));
-    assert_eq!(one.send(&query("all", &[0], 2000).1).0, 200);
-    assert_eq!(two.send(&second_query("manifest", &[0])).0, 200);
-    assert_eq!(one.send(&second_query("manifest", &[0])).1["reason"], "unknown_class");
-    assert_eq!(two.send(&query("all", &[0], 2000).1).1["reason"], "unknown_class");
-    assert_eq!(one.send(&second_query("all", &[0])).1["reason"], "unknown_tenant");
-    // Limits, effects and deadlines: the same fault, each by its own settings.
-    one.servers.iter().chain(&two.servers).for_each(|server| server.set_behavior(ServerBehavior::Silent));
-    let begun = std::time::Instant::now();
-    assert_eq!(two.send(&second_query("manifest", &[1])).0, 500, "its class may not be repeated");
-    assert!(begun.elapsed().as_millis() < 900, "its deadline is 0.7 s");
-    assert_eq!(one.send(&query("all", &[1], 1500).1).0, 503);
-    let held = two.program.get("/stats").1 + &two.program.log_lines().join("\n");
+    let (first, second) = (Deployment::new("", |_| {}), Deployment::new("", use_second_settings));
+    assert_eq!(first.send(&query("all", &[0], 2000).1).0, 200);
+    assert_eq!(second.send(&second_query("manifest", &[0])).0, 200);
+    assert_eq!(first.send(&second_query("manifest", &[0])).1["reason"], "unknown_class");
+    assert_eq!(second.send(&query("all", &[0], 2000).1).1["reason"], "unknown_class");
+    assert_eq!(first.send(&second_query("all", &[0])).1["reason"], "unknown_tenant");
+    // Limits, effects and deadlines: the index servers of both stop answering, and each front node reacts by
+    // its own settings.
+    first
+        .servers
+        .iter()
+        .chain(&second.servers)
+        .for_each(|server| server.set_behavior(ServerBehavior::Silent));
+    let started = std::time::Instant::now();
+    assert_eq!(
+        second.send(&second_query("manifest", &[1])).0,
+        500,
+        "a class with the effect `fragile` is not retried"
+    );
+    assert!(started.elapsed().as_millis() < 900, "the deadline of the class is 0.7 s");
+    assert_eq!(first.send(&query("all", &[1], 1500).1).0, 503);
+    let output = second.program.get("/stats").1 + &second.program.log_lines().join("\n");
     for word in ["\"any\"", "\"all\"", "\"steps\"", "node=n0"] {
-        assert!(!held.contains(word), "{word} shows in the second");
+        assert!(!output.contains(word), "{word} appears in the second deployment");
     }
-    let held = one.program.get("/stats").1 + &one.program.log_lines().join("\n");
+    let output = first.program.get("/stats").1 + &first.program.log_lines().join("\n");
     for word in ["berth", "manifest", "customs", "harbour-7"] {
-        assert!(!held.contains(word), "{word} shows in the first");
+        assert!(!output.contains(word), "{word} appears in the first deployment");
     }
-    assert!(one.servers.iter().flat_map(Server::received).all(|part| !part.attributes.contains("k=")));
+    assert!(first.servers.iter().flat_map(Server::received).all(|part| !part.attributes.contains("k=")));
 }
 
 #[test]
 fn another_deployments_configuration_is_rejected_and_logged() {
-    let (one, two) = (Deployment::new("", |_| {}), Deployment::new("", other_settings));
+    let (first, second) = (Deployment::new("", |_| {}), Deployment::new("", use_second_settings));
     let assert_unchanged = |deployment: &Deployment| {
         assert_eq!(deployment.send(&query("all", &[0], 2000).1).0, 200);
         assert_eq!(deployment.send(&second_query("manifest", &[0])).1["reason"], "unknown_class");
     };
-    // Unchanged: it has another name and another address.
-    one.program.reload(Some(&two.config.to_string()));
-    eventually("it is rejected", || {
-        one.program.count_log_lines(&["msg=\"configuration rejected\"", "key=name"]) == 1
+    // The unchanged file of the second deployment is rejected for its name, which a reload cannot change.
+    first.program.reload(Some(&second.config.to_string()));
+    eventually("the configuration is rejected", || {
+        first.program.count_log_lines(&["msg=\"configuration rejected\"", "key=name"]) == 1
     });
-    assert_unchanged(&one);
-    // With this deployment's name: its settings wait for a restart, and none of them is used until then.
-    let mut mixed = two.config.clone();
-    mixed["name"] = one.config["name"].clone();
-    one.program.reload(Some(&mixed.to_string()));
-    eventually("it is applied except for its settings", || {
-        one.program.count_log_lines(&["msg=\"configuration reloaded\"", "needs_restart=settings"]) == 1
+    assert_unchanged(&first);
+    // The same file with the first deployment's name: its settings take effect only after a restart, so none
+    // of them may be used before.
+    let mut mixed = second.config.clone();
+    mixed["name"] = first.config["name"].clone();
+    first.program.reload(Some(&mixed.to_string()));
+    eventually("everything but the settings is applied", || {
+        first.program.count_log_lines(&["msg=\"configuration reloaded\"", "needs_restart=settings"]) == 1
     });
-    assert_unchanged(&one);
-    // Its discovery is in force now, as stated: parts go to the servers it lists, under this deployment's settings.
-    eventually("the other discovery's endpoint list is applied", || {
-        let before = two.servers.iter().map(|server| server.received().len()).sum::<usize>();
-        assert_unchanged(&one);
-        two.servers.iter().map(|server| server.received().len()).sum::<usize>() > before
+    assert_unchanged(&first);
+    // The address of discovery did take effect: parts go to the servers that the second deployment's
+    // discovery lists, under the settings of the first.
+    eventually("the endpoint list of the second deployment's discovery is applied", || {
+        let before = second.servers.iter().map(|server| server.received().len()).sum::<usize>();
+        assert_unchanged(&first);
+        second.servers.iter().map(|server| server.received().len()).sum::<usize>() > before
     });
-    assert_eq!(two.send(&second_query("manifest", &[0])).0, 200, "the other deployment is unchanged");
+    assert_eq!(second.send(&second_query("manifest", &[0])).0, 200, "the second deployment is unaffected");
 }
 
 #[test]
@@ -118,7 +133,8 @@
         file.write_all(value.to_string().as_bytes()).expect("written");
         file.into_temp_path()
     };
-    // The stand-ins of index servers and discovery use the protocol page's names, so those stay.
+    // Only names between clients and the front node change: the stand-ins of index servers and discovery know
+    // only the default names of the protocol.
     let names = file(&json!({
         "h": {"id": "Trip-Id", "class": "Trip-Kind", "tenant": "Trip-Line", "deadline": "Trip-Waits-Ms"},
         "paths": {"ready": "/in", "health": "/alive", "load": "/figures"},
@@ -135,9 +151,9 @@
             config["settings"]["classes"][class]["effect"] = json!("any");
         }
     });
-    eventually("ready, at its path", || deployment.program.get("/in").0 == 200);
+    eventually("ready, at the renamed path", || deployment.program.get("/in").0 == 200);
     assert_eq!(deployment.program.get("/health/ready").0, 404);
-    let translated = |text: &str| {
+    let with_renamed_fields = |text: &str| {
         let pairs = [
             ("X-Trace-Id", "Trip-Id"),
             ("X-Qos", "Trip-Kind"),
@@ -149,22 +165,23 @@
             ("\"filter\"", "\"ask\""),
         ];
         let (head, body) = text.split_once("\r\n\r\n").expect("a head");
-        let all = |text: &str| pairs.iter().fold(text.to_owned(), |text, (from, to)| text.replace(from, to));
-        let body = all(body);
+        let replace_all =
+            |text: &str| pairs.iter().fold(text.to_owned(), |text, (from, to)| text.replace(from, to));
+        let body = replace_all(body);
         let head = head.rsplit_once("Content-Length").expect("a length").0;
-        format!("{}Content-Length: {}\r\n\r\n{body}", all(head), body.len())
+        format!("{}Content-Length: {}\r\n\r\n{body}", replace_all(head), body.len())
     };
-    let (status, body) = deployment.send(&translated(&query("all", &[0, 1], 2000).1));
+    let (status, body) = deployment.send(&with_renamed_fields(&query("all", &[0, 1], 2000).1));
     assert_eq!((status, body["complete"].as_bool()), (200, Some(true)));
     assert_eq!(body["found"].as_array().map(Vec::len), Some(2));
     assert_eq!(
         deployment.send(&query("all", &[0], 2000).1).0,
         400,
-        "the protocol page's names are unknown here"
+        "the default names are unknown to this front node"
     );
-    // A reload is read by the same names.
+    // A reloaded file is read with the same names of settings.
     deployment.program.reload(Some(&deployment.config.to_string()));
-    eventually("it is applied", || {
+    eventually("the configuration is reloaded", || {
         deployment.program.count_log_lines(&["msg=\"configuration reloaded\""]) == 1
     });
 }
@@ -175,9 +192,9 @@
     for variant in ["vesna-pushed", "tagus-asked"] {
         let file = |name: &str| sites.join(variant).join(name);
         let names = DeploymentNames::from_files(Some(&file("real.json")), Some(&file("wire.json")))
-            .expect("good files");
+            .expect("valid files");
         assert_ne!(*names.wire, WireNames::default());
     }
     let error = DeploymentNames::from_files(Some(&sites.join("vesna-pushed/vesna-pushed.toml")), None);
-    assert!(error.expect_err("no JSON").to_string().contains("vesna-pushed.toml"));
+    assert!(error.expect_err("a file that is not JSON").to_string().contains("vesna-pushed.toml"));
 }
--- a/crates/node/tests/discovery_faults.rs
+++ b/crates/node/tests/discovery_faults.rs
@@ -1,4 +1,4 @@
-//! Discovery that fails, says nothing or sends malformed lists.
+//! A discovery service that fails, does not answer or sends malformed endpoint lists.
 
 #[path = "common/deployment.rs"]
 mod deployment;
@@ -20,7 +20,7 @@
         let before = deployment.discovery.watch_count();
         deployment.discovery.set_behavior(behavior);
         deployment.discovery.close_watches();
-        eventually("it is opened again", || deployment.discovery.watch_count() > before + 1);
+        eventually("the watch is opened again", || deployment.discovery.watch_count() > before + 1);
         assert_eq!(
             deployment.client().send(&query("all", &[0], 2000).1).status,
             200,
@@ -29,7 +29,9 @@
     }
     deployment.discovery.set_behavior(DiscoveryBehavior::Serving);
     let lists = deployment.program.stats()["discovery"]["lists"].as_u64();
-    eventually("it is open again", || deployment.program.stats()["discovery"]["lists"].as_u64() > lists);
+    eventually("a watch receives a list again", || {
+        deployment.program.stats()["discovery"]["lists"].as_u64() > lists
+    });
     for reason in ["ended_by_peer", "status", "bad_list"] {
         eventually(reason, || deployment.program.close_reasons("discovery").contains(&reason.to_owned()));
     }
@@ -44,8 +46,8 @@
         config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
     config["transport"] = json!({"discovery_answer_ms": 150});
     let program = FrontNode::start_ready(NODE, &config);
-    // A second call is made beside the first; when both have timed out, there is a third.
-    eventually("it times out and is opened again", || discovery.watch_count() >= 3);
+    // A second call is opened beside the first, and a third when both have timed out.
+    eventually("the watch times out and is opened again", || discovery.watch_count() >= 3);
     eventually("the close is logged", || {
         program.close_reasons("discovery").contains(&"no_answer".to_owned())
     });
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_flood_of_silent_connections_is_evicted_before_active_ones() {
-    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 40})
     });
     let mut active = deployment.client();
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_newcomer_is_not_evicted_before_its_request_is_read() {
-    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 20})
     });
     for _ in 0..50 {
--- a/crates/node/tests/query_serving.rs
+++ b/crates/node/tests/query_serving.rs
@@ -50,7 +50,7 @@
         client.write(&[*byte]);
     }
     assert_eq!(client.read().status, 200);
-    let stats = deployment.balanced_stats();
+    let stats = deployment.checked_stats();
     assert_eq!(stats["queries"]["all"]["whole"], 2);
     assert_eq!(stats["attempts"]["ok"], 4);
 }
@@ -68,7 +68,7 @@
         assert_eq!(answer.json()["entire"], true);
         assert!(answer.json()["items"].as_array().expect("items").len() >= 2);
     }
-    deployment.balanced_stats();
+    deployment.checked_stats();
 }
 
 #[test]
@@ -106,7 +106,7 @@
         assert_eq!(answer.status, 503, "{answer:?}");
         let wait: f64 = answer.headers["retry-after"].parse().expect("seconds");
         assert!(wait > 0.0 && wait <= 0.5, "{wait}");
-        let stats = deployment.balanced_stats();
+        let stats = deployment.checked_stats();
         assert!(stats["attempts"][outcome].as_u64() >= Some(1), "{stats}");
         assert_eq!(stats["queries"]["all"]["refused"], 1);
     }
@@ -124,7 +124,7 @@
         let cancelled = deployment.parts_cancelled();
         [0, 1].iter().all(|shard| cancelled.contains(&format!("{id}.{shard}")))
     });
-    let stats = deployment.balanced_stats();
+    let stats = deployment.checked_stats();
     assert_eq!(stats["queries"]["all"]["gone"], 1);
     eventually("the close is logged", || {
         deployment.program.close_reasons("client").contains(&"client_gone".to_owned())
@@ -144,7 +144,7 @@
     let answer = waiting.read();
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(begun.elapsed() < Duration::from_millis(1400), "{:?}", begun.elapsed());
-    deployment.balanced_stats();
+    deployment.checked_stats();
 }
 
 #[test]
@@ -203,7 +203,7 @@
         assert!(client.is_closed(), "framing is lost");
     }
     assert_eq!(deployment.parts_received(), 1, "only the well-formed query sent its part");
-    let stats = deployment.balanced_stats();
+    let stats = deployment.checked_stats();
     assert_eq!(stats["connections"]["bad_requests"], cases.len() + 3);
 }
 
@@ -220,7 +220,7 @@
 
 #[test]
 fn a_query_over_the_in_flight_limit_is_rejected_with_retry_after() {
-    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
         config["settings"]["permissions"]["most_held"] = json!(8)
     });
     let mut client = deployment.client();
@@ -233,7 +233,7 @@
         200,
         "a query within the limit is served"
     );
-    let stats = deployment.balanced_stats();
+    let stats = deployment.checked_stats();
     assert_eq!(
         (&stats["queries"]["all"]["over_held"], &stats["queries"]["all"]["taken"]),
         (&json!(1), &json!(1))
@@ -260,7 +260,7 @@
     eventually("its answer was late", || {
         deployment.program.stats()["attempts"]["late_answers"].as_u64() >= Some(1)
     });
-    deployment.all_servers(&ServerBehavior::Serving);
+    deployment.set_all_behaviors(&ServerBehavior::Serving);
     let (id, text) = query("all", &[0], 2000);
     assert!(
         client.send(&text).body.contains(&format!("value of {id}.0")),
--- a/crates/node/tests/server_connections.rs
+++ b/crates/node/tests/server_connections.rs
@@ -17,7 +17,7 @@
     deployment.change_endpoint_list(lines);
     let answer = deployment.client().send(&query("all", &[0], 600).1);
     assert_eq!(answer.status, 503, "{answer:?}");
-    let stats = deployment.balanced_stats();
+    let stats = deployment.checked_stats();
     assert!(stats["attempts"]["connect_failed"].as_u64() >= Some(1));
     assert_eq!(stats["attempts"]["reset"], 0);
     eventually("the refused connection is logged", || {
@@ -28,7 +28,7 @@
     deployment.servers[4].set_behavior(ServerBehavior::ClosingAfterFrame);
     let answer = deployment.client().send(&query("all", &[1], 600).1);
     assert_eq!(answer.status, 503, "{answer:?}");
-    assert!(deployment.balanced_stats()["attempts"]["reset"].as_u64() >= Some(1));
+    assert!(deployment.checked_stats()["attempts"]["reset"].as_u64() >= Some(1));
     eventually("the close is logged", || {
         deployment.program.close_reasons("index_server").contains(&"ended_by_peer".to_owned())
     });
@@ -50,7 +50,7 @@
         eventually("the close is logged", || {
             deployment.program.close_reasons("index_server").contains(&reason.to_owned())
         });
-        assert!(deployment.balanced_stats()["attempts"]["reset"].as_u64() >= Some(1));
+        assert!(deployment.checked_stats()["attempts"]["reset"].as_u64() >= Some(1));
         assert_eq!(client.send(&query("all", &[1, 2], 2000).1).status, 200, "other servers still serve");
     }
 }
@@ -60,7 +60,7 @@
     let deployment = Deployment::new(&ServerBehavior::Serving);
     // The three shards of one cell have two replicas: at least one call carries two of them.
     assert_eq!(deployment.client().send(&query("all", &[0, 3, 6], 2000).1).status, 200);
-    let stats = deployment.balanced_stats();
+    let stats = deployment.checked_stats();
     assert_eq!(stats["attempts"]["sent"], 3);
     assert!(stats["connections"]["calls"].as_u64() <= Some(2), "{stats}");
 }
@@ -68,13 +68,13 @@
 #[test]
 fn without_a_free_connection_the_attempt_never_ran() {
     // The only connection has a part in flight all the while.
-    let deployment = Deployment::with(&ServerBehavior::Silent, |config| {
+    let deployment = Deployment::with_config(&ServerBehavior::Silent, |config| {
         config["transport"] = json!({"server_connections": 1})
     });
     let mut client = deployment.client();
     let answer = client.send(&query("all", &[0, 1], 600).1);
     assert_eq!(answer.status, 503, "two cells need two connections: {answer:?}");
-    let stats = deployment.balanced_stats();
+    let stats = deployment.checked_stats();
     assert!(stats["connections"]["servers_none_left"].as_u64() >= Some(1));
     assert!(stats["attempts"]["connect_failed"].as_u64() >= Some(1));
     assert_eq!(stats["connections"]["servers_begun"], 1);
@@ -82,7 +82,7 @@
 
 #[test]
 fn an_idle_server_connection_is_evicted_for_a_needed_one() {
-    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"server_connections": 1})
     });
     let mut client = deployment.client();
@@ -92,7 +92,7 @@
             assert_eq!(client.send(&query("all", &[shard], 600).1).status, 200);
         }
     }
-    let stats = deployment.balanced_stats();
+    let stats = deployment.checked_stats();
     assert_eq!(stats["connections"]["servers_none_left"], 0);
     assert_eq!(stats["connections"]["servers_begun"], 6);
     assert_eq!(stats["connections"]["servers_open"], 1);
@@ -145,7 +145,7 @@
 
 #[test]
 fn idle_server_connections_are_closed_by_the_node_first() {
-    let deployment = Deployment::with(&ServerBehavior::Serving, |config| {
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
         config["settings"]["permissions"]["conn_idle"] = json!(400_000);
     });
     let mut client = deployment.client();
--- a/crates/node/tests/start_and_stop.rs
+++ b/crates/node/tests/start_and_stop.rs
@@ -72,7 +72,7 @@
 #[test]
 fn on_sigterm_open_queries_are_answered_before_the_exit() {
     let mut deployment =
-        Deployment::with(&ServerBehavior::ServingAfter(Duration::from_millis(400)), |config| {
+        Deployment::with_config(&ServerBehavior::ServingAfter(Duration::from_millis(400)), |config| {
             config["transport"] = json!({"hand_over_ms": 2000, "stop_within_ms": 8000});
         });
     let mut idle = deployment.client();
@@ -83,7 +83,7 @@
     deployment.program.terminate();
     eventually("it is not ready any more", || deployment.program.get("/health/ready").0 == 503);
     // The load balancer has not noticed yet: old and new connections are still served.
-    deployment.all_servers(&ServerBehavior::Serving);
+    deployment.set_all_behaviors(&ServerBehavior::Serving);
     assert_eq!(idle.send(&query("all", &[2], 2000).1).status, 200);
     assert_eq!(deployment.client().send(&query("all", &[2], 2000).1).status, 200);
     let answer = open.read();
@@ -97,7 +97,7 @@
 
 #[test]
 fn on_sigterm_queries_that_cannot_be_answered_are_failed_before_the_exit() {
-    let mut deployment = Deployment::with(&ServerBehavior::Silent, |config| {
+    let mut deployment = Deployment::with_config(&ServerBehavior::Silent, |config| {
         config["transport"] = json!({"stop_within_ms": 900})
     });
     let mut open = deployment.client();
