--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -17,8 +17,8 @@
 fn other_clients_are_answered_during_a_connection_flood() {
     let mut deployment =
         Deployment::with_config(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
-    // 64 descriptors, less 24 for other uses and 13 for connections to index servers. The default limit is
-    // lower still, because descriptors are also set aside for evicted connections that linger.
+    // 64 descriptors, less 24 for other uses and 13 for connections to index servers. The front node's own
+    // limit is lower still, because descriptors are also set aside for evicted connections that linger.
     let max_clients = 64 - 24 - 13;
     let mut flood: Vec<Client> = (0..max_clients * 3).map(|_| deployment.client()).collect();
     let mut client = deployment.client();
--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -147,6 +147,7 @@
             eventually("the client is counted as gone", || program.stats()["queries"]["all"]["gone"] == 1);
             let servers: Vec<Server> =
                 pending.into_iter().map(|pending| pending.start_server(ServerBehavior::Serving)).collect();
+            // The first accepted connection is the one with which the stand-in filled the listen queue.
             let connected = || servers.iter().all(|server| server.accepted_connections() >= 2);
             eventually("the connections are established", connected);
             thread::sleep(ms(150));
--- a/crates/node/tests/common/deployment.rs
+++ b/crates/node/tests/common/deployment.rs
@@ -12,6 +12,9 @@
 /// A front node with a discovery service and six index servers, two in each of three cells.
 ///
 /// Server `n` is in cell `n % 3` and is a replica of every shard whose number has the same remainder.
+///
+/// The front node has three classes of queries: an answer is complete with any two of three parts in the
+/// class `any` and with all parts in the class `all`; queries of the class `steps` have a second step.
 pub struct Deployment {
     pub servers: Vec<Server>,
     pub discovery: Discovery,
@@ -70,7 +73,8 @@
     /// Returns the counters once no query or attempt is in flight, and asserts that their totals agree.
     ///
     /// In each class, the number of queries taken must equal the sum of their outcomes. The number of
-    /// attempts sent must equal the sum of the outcomes of attempts.
+    /// attempts sent must equal the sum of the outcomes of attempts. The counters of queries and attempts in
+    /// flight are `held` and `out`.
     pub fn checked_stats(&self) -> Value {
         eventually("no query or attempt is in flight", || {
             let stats = self.program.stats();
--- a/crates/node/tests/counters.rs
+++ b/crates/node/tests/counters.rs
@@ -13,13 +13,14 @@
     class.open.decrement();
     counters.attempts.in_flight.increment();
     counters.attempts.in_flight.decrement();
+    // A counter at 0 stays at 0 when it is decremented.
     counters.attempts.in_flight.decrement();
     counters.closes.increment("client", "idle");
     counters.closes.increment("client", "idle");
     let expected = json!({
         "queries": {"any": {
-            "taken": 2, "whole": 0, "partial": 0, "refused": 0, "failed": 0, "overdue": 0, "gone": 0, "held": 1,
-            "repeats": 0, "second_steps": 0, "over_held": 0,
+            "taken": 2, "whole": 0, "partial": 0, "refused": 0, "failed": 0, "overdue": 0, "gone": 0,
+            "held": 1, "repeats": 0, "second_steps": 0, "over_held": 0,
         }},
         "attempts": {
             "sent": 0, "further": 0, "hedges": 0, "ok": 0, "error": 0, "full": 0, "timeout": 0,
--- a/crates/node/tests/deployment_isolation.rs
+++ b/crates/node/tests/deployment_isolation.rs
@@ -135,15 +135,18 @@
     };
     // Only names between clients and the front node change: the stand-ins of index servers and discovery know
     // only the default names of the protocol.
-    let names = file(&json!({
+    let wire_names = file(&json!({
         "h": {"id": "Trip-Id", "class": "Trip-Kind", "tenant": "Trip-Line", "deadline": "Trip-Waits-Ms"},
         "paths": {"ready": "/in", "health": "/alive", "load": "/figures"},
-        "fan": {"parts": "legs", "shard": "leg", "weight": "part", "text": "ask", "whole": "complete", "hits": "found"},
+        "fan": {
+            "parts": "legs", "shard": "leg", "weight": "part", "text": "ask",
+            "whole": "complete", "hits": "found",
+        },
     }));
-    let words = file(
+    let setting_keys = file(
         &json!({"init": {"rename": {"deadline": "cut_off", "tenants": "lines"}, "words": {"safe": "any"}}}),
     );
-    let arguments = format!("--names {} --words {}", names.display(), words.display());
+    let arguments = format!("--names {} --words {}", wire_names.display(), setting_keys.display());
     let deployment = Deployment::new(&arguments, |config| {
         config["settings"] =
             with_setting_aliases(&config["settings"], &[("hard_limit", "cut_off"), ("projects", "lines")]);
--- a/crates/node/tests/multiple_nodes.rs
+++ b/crates/node/tests/multiple_nodes.rs
@@ -309,7 +309,9 @@
     let discovery = Discovery::start(entries.clone());
     let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries));
     config["settings"]["projects"] = json!([
-        {"name": "north", "quota_per_s": 20.0, "share": 0.5}, {"name": "south", "quota_per_s": 20.0, "share": 0.5}]);
+        {"name": "north", "quota_per_s": 20.0, "share": 0.5},
+        {"name": "south", "quota_per_s": 20.0, "share": 0.5},
+    ]);
     config["settings"]["permissions"]["most_held"] = json!(400);
     for class in 0..3 {
         config["settings"]["classes"][class]["aim"] = json!(250_000);
--- a/crates/node/tests/retry_safety.rs
+++ b/crates/node/tests/retry_safety.rs
@@ -252,6 +252,7 @@
     let retried: Vec<String> = resetting.received().into_iter().map(|part| part.id).collect();
     thread::sleep(IDEMPOTENCY_WINDOW);
     let other = pending.start_server(ServerBehavior::Serving);
+    // The first accepted connection is the one with which the stand-in filled the listen queue.
     eventually("the connection is established", || other.accepted_connections() >= 2);
     thread::sleep(ms(200));
     for part in other.received() {
@@ -341,6 +342,7 @@
     }
     assert!(received.elapsed() < ms(700), "sent at once, not as a hedged request: {:?}", received.elapsed());
     let draining = pending.start_server(ServerBehavior::Serving);
+    // The first accepted connection is the one with which the stand-in filled the listen queue.
     eventually("the connection is established", || draining.accepted_connections() >= 2);
     thread::sleep(ms(100));
     assert_eq!(draining.received(), [], "a draining server gets no new part");
