--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -1,37 +1,41 @@
-//! Floods of connections, slow senders and slow readers: capacity is bounded, and other clients are served.
+//! Connection floods, slow senders and slow readers: the front node bounds the resources that they take and
+//! goes on serving other clients.
 
-#[path = "common/stage.rs"]
-mod stage;
+#[path = "common/deployment.rs"]
+mod deployment;
 
+use deployment::Deployment;
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, query, Client, Discovery, FrontNode, Server,
     ServerBehavior,
 };
 use serde_json::json;
-use stage::Stage;
 
 const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
 
 #[test]
-fn a_flood_of_connections_prevents_no_answer() {
-    let mut stage = Stage::with(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
+fn other_clients_are_answered_during_a_connection_flood() {
+    let mut deployment =
+        Deployment::with_config(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
+    // 64 descriptors, less 24 for other uses and 13 for connections to index servers. The front node's own
+    // limit is lower still, because descriptors are also set aside for evicted connections that linger.
     let max_clients = 64 - 24 - 13;
-    let mut flood: Vec<Client> = (0..max_clients * 3).map(|_| stage.client()).collect();
-    let mut client = stage.client();
+    let mut flood: Vec<Client> = (0..max_clients * 3).map(|_| deployment.client()).collect();
+    let mut client = deployment.client();
     for _ in 0..3 {
         assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).1).status, 200);
     }
-    assert!(stage.program.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
+    assert!(deployment.program.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
     eventually("the longest idle connections were evicted", || {
-        stage.program.close_reasons("client").iter().any(|reason| reason == "made_room")
+        deployment.program.close_reasons("client").iter().any(|reason| reason == "made_room")
     });
     assert!(flood.first_mut().expect("one").is_closed());
-    assert!(stage.program.is_running());
-    assert_eq!(stage.program.stats()["connections"]["accept_failed"], 0);
+    assert!(deployment.program.is_running());
+    assert_eq!(deployment.program.stats()["connections"]["accept_failed"], 0);
 }
 
 #[test]
-fn a_flood_under_a_lower_descriptor_limit_prevents_no_answer() {
+fn other_clients_are_answered_during_a_flood_under_a_low_descriptor_limit() {
     let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
     let config =
@@ -49,56 +53,61 @@
 
 #[test]
 fn slow_senders_time_out_and_delay_no_other_client() {
-    let stage =
-        Stage::with(&ServerBehavior::Serving, |config| config["transport"] = json!({"request_ms": 300}));
-    let mut slow = stage.client();
-    slow.write(b"POST /all HTTP/1.1\r\nContent-Le");
-    assert_eq!(stage.client().send(&query("all", &[0], 2000).1).status, 200);
-    assert_eq!(slow.read().status, 408);
-    assert!(slow.is_closed());
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+        config["transport"] = json!({"request_ms": 300})
+    });
+    let mut slow_client = deployment.client();
+    slow_client.write(b"POST /all HTTP/1.1\r\nContent-Le");
+    assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(slow_client.read().status, 408);
+    assert!(slow_client.is_closed());
     eventually("the close is logged", || {
-        stage.program.close_reasons("client").contains(&"request_timeout".to_owned())
+        deployment.program.close_reasons("client").contains(&"request_timeout".to_owned())
     });
 }
 
 #[test]
 fn many_slow_bodies_stay_within_bounded_memory() {
-    let stage = Stage::new(&ServerBehavior::Serving);
-    let part = format!("POST /all HTTP/1.1\r\nContent-Length: 65000\r\n\r\n{}", " ".repeat(60_000));
-    let mut slow: Vec<Client> = (0..300).map(|_| stage.client()).collect();
-    for client in &mut slow {
-        client.write(part.as_bytes());
+    let deployment = Deployment::new(&ServerBehavior::Serving);
+    // Each body stays 5000 bytes short of the announced length.
+    let incomplete_request =
+        format!("POST /all HTTP/1.1\r\nContent-Length: 65000\r\n\r\n{}", " ".repeat(60_000));
+    let mut slow_clients: Vec<Client> = (0..300).map(|_| deployment.client()).collect();
+    for client in &mut slow_clients {
+        client.write(incomplete_request.as_bytes());
     }
-    eventually("all of it is read", || {
-        stage.program.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
+    eventually("all bodies are read", || {
+        deployment.program.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
     });
-    assert_eq!(stage.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
-    let peak = stage.program.peak_memory_kb();
-    assert!(peak < 64 * 1024, "{peak} kB for 18 MB of bodies");
+    assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
+    let peak = deployment.program.peak_memory_kb();
+    assert!(peak < 64 * 1024, "peak memory of {peak} kB for 18 MB of bodies");
 }
 
 #[test]
 fn a_client_that_reads_no_responses_is_closed() {
-    let stage =
-        Stage::with(&ServerBehavior::Serving, |config| config["transport"] = json!({"answer_write_ms": 200}));
-    let mut unread = stage.client();
-    // More answers than the kernel's buffers hold.
-    unread.write("GET /stats HTTP/1.1\r\n\r\n".repeat(8000).as_bytes());
-    eventually("it is closed", || {
-        stage.program.close_reasons("client").contains(&"write_stalled".to_owned())
+    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+        config["transport"] = json!({"answer_write_ms": 200})
+    });
+    let mut client = deployment.client();
+    // The responses to these requests exceed the socket buffers of the kernel, so writing them blocks.
+    client.write("GET /stats HTTP/1.1\r\n\r\n".repeat(8000).as_bytes());
+    eventually("the close is logged", || {
+        deployment.program.close_reasons("client").contains(&"write_stalled".to_owned())
     });
-    assert_eq!(stage.client().send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
 }
 
 #[test]
 fn an_unread_log_does_not_stall_the_node() {
-    // The program's output goes into a pipe that the test never reads.
+    // The log goes to a pipe. The test reads the line that names the listen address and nothing after it.
     let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
     let config =
         config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
     let program = pinetrestle_standins::FrontNodeWithUnreadLog::start(NODE, &config);
-    // Each connection logs a line of over a hundred bytes; the pipe holds 64 KiB.
+    // Each connection logs a line of more than 100 bytes, and the pipe holds 64 KiB: 2500 connections
+    // overfill it.
     for _ in 0..2500 {
         Client::connect(program.address).send("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
     }
--- a/crates/node/tests/host/attempts.rs
+++ b/crates/node/tests/host/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: contents of the parts sent, outcomes, timeouts and withdrawal.
 
-use crate::common::{config_with, ALL};
+use crate::common::{config_with, CLASS_ALL};
 use crate::harness::{Harness, MS};
 use pinetrestle_node::host::Command;
 use pinetrestle_protocol::connection::AttemptAnswer;
@@ -10,7 +10,7 @@
 #[test]
 fn each_part_carries_its_id_the_query_text_and_a_deadline() {
     let mut harness = Harness::new();
-    harness.submit(ALL, &[0, 1]).expect("admitted");
+    harness.submit(CLASS_ALL, &[0, 1]).expect("admitted");
     for sent in harness.in_flight.values() {
         let remaining = harness.remaining_ms(&sent.part);
         assert!((100..=2000).contains(&remaining), "{remaining}");
@@ -24,7 +24,7 @@
 #[test]
 fn an_attempt_ends_once_and_a_late_answer_is_dropped() {
     let mut harness = Harness::new();
-    harness.submit(ALL, &[0]).expect("admitted");
+    harness.submit(CLASS_ALL, &[0]).expect("admitted");
     let attempt_id = harness.attempt_ids()[0];
     harness.in_flight.remove(&attempt_id);
     harness.host.connection_lost(harness.now(), attempt_id, false);
@@ -53,7 +53,7 @@
         settings["permissions"]["cancel"] = json!(false);
         settings["permissions"]["may_duplicate"] = json!(false);
     }));
-    harness.submit(ALL, &[0]).expect("admitted");
+    harness.submit(CLASS_ALL, &[0]).expect("admitted");
     let (first, sent) = harness.in_flight.pop_first().expect("one part is in flight");
     let remaining = harness.remaining_ms(&sent.part);
     assert!(remaining < 1900, "the timeout must come before the client's deadline: {remaining} ms");
@@ -73,7 +73,7 @@
 #[test]
 fn attempts_of_a_disconnected_client_are_withdrawn_without_a_batch() {
     let mut harness = Harness::new();
-    let query = harness.submit(ALL, &[0, 1, 2]).expect("admitted");
+    let query = harness.submit(CLASS_ALL, &[0, 1, 2]).expect("admitted");
     let attempt_ids = harness.attempt_ids();
     assert_eq!(attempt_ids.len(), 3);
     harness.host.client_disconnected(query);
--- a/crates/node/tests/host/endpoints.rs
+++ b/crates/node/tests/host/endpoints.rs
@@ -1,6 +1,6 @@
 //! Endpoint list: updates, removals, returning index servers and a lost watch.
 
-use crate::common::ALL;
+use crate::common::CLASS_ALL;
 use crate::harness::{entry, Harness, MS};
 use pinetrestle::interface::ReplicaId;
 use pinetrestle_protocol::endpoint_list::{EndpointEntry, Status};
@@ -45,7 +45,7 @@
 fn a_returning_server_keeps_its_replica_number_and_removing_an_unknown_server_is_ignored() {
     let mut harness = Harness::new();
     let replica_of_new_attempt = |harness: &mut Harness| -> ReplicaId {
-        harness.submit(ALL, &[0]).expect("admitted");
+        harness.submit(CLASS_ALL, &[0]).expect("admitted");
         let (_, sent) = harness.in_flight.pop_last().expect("an attempt is in flight");
         sent.replica
     };
--- a/crates/node/tests/host/long_runs.rs
+++ b/crates/node/tests/host/long_runs.rs
@@ -1,7 +1,7 @@
 //! Long simulated runs: the counters stay consistent under random inputs, and the tables do not grow with
 //! time.
 
-use crate::common::ALL;
+use crate::common::CLASS_ALL;
 use crate::harness::{entry, Harness, MS};
 use pinetrestle::interface::Id;
 use pinetrestle_node::host::TableSize;
@@ -100,7 +100,7 @@
         // removal is by a complete list without the server.
         let (oldest, newest) = (round, round + 6);
         harness.update_endpoints(false, vec![entry(newest, Status::Up), entry(oldest, Status::Draining)]);
-        harness.submit(ALL, &[0, 1, 2]).expect("admitted");
+        harness.submit(CLASS_ALL, &[0, 1, 2]).expect("admitted");
         if round % 7 == 0 {
             let listed = (round + 1..round + 7).map(|number| entry(number, Status::Up));
             harness.update_endpoints(true, listed.collect());
