--- a/crates/member/tests/seven.rs
+++ b/crates/member/tests/seven.rs
@@ -69,7 +69,8 @@
     fleet.run_command_until_done(&["release", "v2", "--id", "r1"], 2);
     let (code, output) = fleet.run_command(&["release", "v3", "--id", "r2"], 3);
     assert_eq!(code, Some(3), "a second release beside one that runs: {output}");
-    assert!(output.contains("release r1 runs"), "{output}");
+    let running = "release r1 is running: wait until it ends, or roll it back";
+    assert!(output.contains(running), "{output}");
     let cut: Vec<(u64, u64)> =
         (0..5).map(|_| (random.random_range(1..=MEMBERS), random.random_range(1..=MEMBERS))).collect();
     let is_cut = |a: u64, b: u64| cut.contains(&(a, b)) || cut.contains(&(b, a));
