--- a/crates/member/benches/fleet.rs
+++ b/crates/member/benches/fleet.rs
@@ -33,7 +33,7 @@
 }
 
 fn all_serve(view: &RolloutView, members: u64) -> bool {
-    view.nodes.len() as u64 == members && view.nodes.iter().all(|node| !node.away)
+    view.nodes.len() as u64 == members && view.nodes.iter().all(|node| !node.unavailable)
 }
 
 async fn wait_until_ready(load: &Load, members: u64) {
--- a/crates/member/src/error.rs
+++ b/crates/member/src/error.rs
@@ -28,10 +28,10 @@
     },
     /// The snapshot that the leader sent does not decode.
     #[error("the leader's snapshot does not decode: another version of this program?")]
-    LeaderSnapshot,
+    InvalidLeaderSnapshot,
     /// A task's name is empty or too long.
     #[error("a task's name has 1 to {MAX_TASK_NAME_BYTES} bytes, not {length}")]
-    TaskName {
+    InvalidTaskName {
         /// The bytes it has.
         length: usize,
     },
--- a/crates/member/src/local_services.rs
+++ b/crates/member/src/local_services.rs
@@ -61,7 +61,7 @@
     pub(crate) fn update_member(&mut self, member: &mut Member) {
         if let Some(front) = &mut self.front {
             if front.observations.has_changed().unwrap_or(false) {
-                member.rollout.observations.front = front.observations.borrow_and_update().clone();
+                member.rollout.observations.front_node = front.observations.borrow_and_update().clone();
             }
         }
         if let Some(relay) = &mut self.relay {
@@ -69,7 +69,7 @@
                 member.rollout.observations.discovered = relay.discovered.borrow_and_update().clone();
             }
             if relay.notified.has_changed().unwrap_or(false) {
-                member.rollout.observations.notified = relay.notified.borrow_and_update().clone();
+                member.rollout.observations.notified_changes = relay.notified.borrow_and_update().clone();
             }
         }
     }
@@ -80,7 +80,7 @@
             relay::send_if_changed(&relay.drain_view, view);
         }
         // The agent issues an action once: one that found no room is kept until a later one replaces it.
-        let action = output.front_action.take().or(self.pending_action.take());
+        let action = output.front_node_action.take().or(self.pending_action.take());
         if let (Some(front), Some(action)) = (&self.front, action) {
             if let Err(TrySendError::Full(action)) = front.actions.try_send(action) {
                 self.pending_action = Some(action);
--- a/crates/member/src/member/leases.rs
+++ b/crates/member/src/member/leases.rs
@@ -57,7 +57,7 @@
     /// Acquires the lease of a task from now on, or releases it.
     pub(super) fn set_wanted(&mut self, task: &str, wanted: bool) -> Result<(), MemberError> {
         if !Task::is_valid_name(task) {
-            return Err(MemberError::TaskName { length: task.len() });
+            return Err(MemberError::InvalidTaskName { length: task.len() });
         }
         let task = Task(task.to_owned());
         if !self.holders.contains_key(&task) && self.holders.len() >= MAX_TASKS {
--- a/crates/member/src/member/mod.rs
+++ b/crates/member/src/member/mod.rs
@@ -141,7 +141,7 @@
     /// Acquires the lease of a task from now on, or releases it.
     ///
     /// # Errors
-    /// [`MemberError::TaskName`] and [`MemberError::TooManyTasks`].
+    /// [`MemberError::InvalidTaskName`] and [`MemberError::TooManyTasks`].
     pub fn set_wanted(&mut self, task: &str, wanted: bool) -> Result<(), MemberError> {
         self.leases.set_wanted(task, wanted)
     }
@@ -186,7 +186,7 @@
         for entry in step.entries {
             self.propose(&entry);
         }
-        output.front_action = step.front_action;
+        output.front_node_action = step.front_node_action;
     }
 
     /// Hands out what the fleet has decided on index servers, if the rollout state has changed since the last time.
--- a/crates/member/src/member/output.rs
+++ b/crates/member/src/member/output.rs
@@ -23,7 +23,7 @@
     /// Actions under a lease, for the task sink.
     pub actions: Vec<Action>,
     /// What to do with the front node.
-    pub front_action: Option<ProcessAction>,
+    pub front_node_action: Option<ProcessAction>,
     /// What the fleet has decided on index servers, where that may have changed.
     pub drain_view: Option<DrainView>,
 }
--- a/crates/member/src/member/ready.rs
+++ b/crates/member/src/member/ready.rs
@@ -40,7 +40,7 @@
     /// Replaces the state machine by the snapshot that the leader sent.
     fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), MemberError> {
         self.raft.mut_store().apply_snapshot(snapshot)?;
-        self.state = wire::decode(&snapshot.data).ok_or(MemberError::LeaderSnapshot)?;
+        self.state = wire::decode(&snapshot.data).ok_or(MemberError::InvalidLeaderSnapshot)?;
         info!(self.log, "snapshot taken from the leader"; "index" => snapshot.get_metadata().index);
         Ok(())
     }
--- a/crates/member/src/rollout/mod.rs
+++ b/crates/member/src/rollout/mod.rs
@@ -40,11 +40,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct Observations {
     /// The front node.
-    pub front: Observation,
+    pub front_node: Observation,
     /// The endpoint list of discovery, as the relay has it.
     pub discovered: DiscoveredServers,
     /// The last change of each index server that the front node has been notified of.
-    pub notified: BTreeMap<String, u64>,
+    pub notified_changes: BTreeMap<String, u64>,
 }
 
 /// What one tick decided.
@@ -53,7 +53,7 @@
     /// Entries to propose.
     pub entries: Vec<LogEntry>,
     /// What to do with the front node.
-    pub front_action: Option<ProcessAction>,
+    pub front_node_action: Option<ProcessAction>,
 }
 
 /// One member's part. Time is the member's monotonic milliseconds.
@@ -149,7 +149,10 @@
         commands.extend(self.report_notified(now, rollout));
         let rollout_entries = commands.into_iter().map(LogEntry::Rollout);
         let recovery_entries = recovery_commands.into_iter().map(LogEntry::Recovery);
-        RolloutStep { entries: rollout_entries.chain(recovery_entries).collect(), front_action: agent.action }
+        RolloutStep {
+            entries: rollout_entries.chain(recovery_entries).collect(),
+            front_node_action: agent.action,
+        }
     }
 
     fn tick_recovery(
@@ -163,9 +166,9 @@
             raft,
             release_token,
             plan: self.plan.as_ref(),
-            front: &self.observations.front,
+            front: &self.observations.front_node,
             has_front: self.agent.is_some(),
-            has_list: self.observations.discovered.is_some(),
+            has_endpoint_list: self.observations.discovered.is_some(),
         };
         self.recovery.tick(now, state, &inputs)
     }
@@ -182,7 +185,7 @@
 
     fn tick_agent(&mut self, now: u64, state: &RolloutState) -> AgentOutput {
         let Some(agent) = &mut self.agent else { return AgentOutput::default() };
-        agent.poll(now, &self.observations.front.state, state, self.recovery.start_permission())
+        agent.poll(now, &self.observations.front_node.state, state, self.recovery.start_permission())
     }
 
     /// Reports drains that the front node has been notified of and the state does not yet count.
@@ -191,7 +194,7 @@
         for (name, server) in state.servers() {
             let unreported = server.phase == ServerPhase::Draining
                 && !server.acknowledged_by.contains(&self.member)
-                && self.observations.notified.get(name) == Some(&server.change_index);
+                && self.observations.notified_changes.get(name) == Some(&server.change_index);
             if !unreported {
                 self.notified_reports.remove(name);
             } else if self.notified_reports.entry(name.to_owned()).or_default().fire_if_due(now) {
--- a/crates/member/src/rollout/recovery.rs
+++ b/crates/member/src/rollout/recovery.rs
@@ -23,7 +23,7 @@
     /// Whether this member has a front node.
     pub(super) has_front: bool,
     /// Whether the relay has discovery's endpoint list.
-    pub(super) has_list: bool,
+    pub(super) has_endpoint_list: bool,
 }
 
 /// One member's part in the recovery. Time is the member's monotonic milliseconds.
@@ -115,7 +115,7 @@
     fn presence(&mut self, now: u64, state: &RecoveryState, inputs: &RecoveryInputs<'_>) -> Option<Command> {
         let front = &inputs.front.state;
         let serving = front.running_version.is_some() && front.ready;
-        let has_endpoint_list = !self.relayed || inputs.has_list;
+        let has_endpoint_list = !self.relayed || inputs.has_endpoint_list;
         let known = state.presences().get(&self.member);
         let changed = known.is_none_or(|known| {
             known.incarnation != self.incarnation
--- a/crates/member/src/rollout/status.rs
+++ b/crates/member/src/rollout/status.rs
@@ -14,7 +14,7 @@
     let reports = state.presences().iter().map(|(member, presence)| PresenceView {
         member: member.0,
         serving: presence.serving,
-        has_list: presence.has_endpoint_list,
+        has_endpoint_list: presence.has_endpoint_list,
     });
     RecoveryView {
         epoch: state.epoch(),
@@ -83,8 +83,8 @@
         id: id.0,
         version: node.version.clone(),
         ready: node.ready,
-        lost: node.unreachable,
-        away: state.is_unavailable(id),
+        unreachable: node.unreachable,
+        unavailable: state.is_unavailable(id),
         slot: node.slot.as_ref().map(|slot| SlotView { index: slot.index, begun: slot.begun }),
         step: step_text(step),
         blocked_by,
--- a/crates/member/src/status.rs
+++ b/crates/member/src/status.rs
@@ -65,18 +65,18 @@
     /// Whether its front node serves.
     pub serving: bool,
     /// Whether it has discovery's endpoint list.
-    pub has_list: bool,
+    pub has_endpoint_list: bool,
 }
 
 impl From<(u64, bool, bool)> for PresenceView {
-    fn from((member, serving, has_list): (u64, bool, bool)) -> Self {
-        Self { member, serving, has_list }
+    fn from((member, serving, has_endpoint_list): (u64, bool, bool)) -> Self {
+        Self { member, serving, has_endpoint_list }
     }
 }
 
 impl From<PresenceView> for (u64, bool, bool) {
     fn from(view: PresenceView) -> Self {
-        (view.member, view.serving, view.has_list)
+        (view.member, view.serving, view.has_endpoint_list)
     }
 }
 
@@ -157,9 +157,11 @@
     /// Whether it reported that it serves.
     pub ready: bool,
     /// Whether its member's heartbeats are missing.
-    pub lost: bool,
+    #[serde(rename = "lost")]
+    pub unreachable: bool,
     /// Whether it counts as away.
-    pub away: bool,
+    #[serde(rename = "away")]
+    pub unavailable: bool,
     /// Its slot in the release.
     pub slot: Option<SlotView>,
     /// Its step in the release, in words.
--- a/crates/member/src/status_report/explanation.rs
+++ b/crates/member/src/status_report/explanation.rs
@@ -83,7 +83,7 @@
     if let Some(release) = &rollout.release {
         explain_release(out, release, &rollout.nodes)?;
     }
-    for node in rollout.nodes.iter().filter(|node| node.away) {
+    for node in rollout.nodes.iter().filter(|node| node.unavailable) {
         writeln!(out, "Front node {} counts as away: {}.", node.id, reason_away(node))?;
     }
     for server in &rollout.servers {
@@ -125,7 +125,7 @@
 
 /// Why a front node counts as away.
 fn reason_away(node: &NodeView) -> &'static str {
-    if node.lost {
+    if node.unreachable {
         "its member is not heard"
     } else if node.slot.is_some() {
         "it holds a slot"
--- a/crates/member/src/status_report/recovery_report.rs
+++ b/crates/member/src/status_report/recovery_report.rs
@@ -17,9 +17,9 @@
         write!(out, "The fleet is at: {}. ", recovery.stage)?;
         writeln!(out, "It came back from {} power losses, this one included.", recovery.epoch)?;
         writeln!(out, "The front node of member {}: {}.", status.id, recovery.admission)?;
-        for PresenceView { member, serving, has_list } in &recovery.reports {
+        for PresenceView { member, serving, has_endpoint_list } in &recovery.reports {
             let serves = if *serving { "serves" } else { "does not serve" };
-            let list = if *has_list { "has discovery's list" } else { "has no list yet" };
+            let list = if *has_endpoint_list { "has discovery's list" } else { "has no list yet" };
             writeln!(out, "Member {member} {serves} and {list}.")?;
         }
         let silent = self.silent_members();
--- a/crates/member/src/status_report/table.rs
+++ b/crates/member/src/status_report/table.rs
@@ -78,7 +78,7 @@
         "" => NOTHING,
         version => version,
     };
-    let nodes_away = rollout.nodes.iter().filter(|node| node.away).count();
+    let nodes_away = rollout.nodes.iter().filter(|node| node.unavailable).count();
     let servers_away = rollout.servers.len();
     write!(out, "\nplan {}  last good {last_good}", rollout.revision)?;
     write!(out, "  front nodes away {nodes_away} of {} allowed", rollout.node_limit)?;
@@ -95,12 +95,12 @@
     writeln!(out, "\n{:>6} {:<16} {:<7} {:<5} {:<16} STEP", "NODE", "VERSION", "READY", "AWAY", "SLOT")?;
     for node in nodes {
         let NodeView { id, version, step, .. } = node;
-        let ready = match (node.lost, node.ready) {
+        let ready = match (node.unreachable, node.ready) {
             (true, _) => "unheard",
             (false, true) => "yes",
             (false, false) => "no",
         };
-        let away = if node.away { "yes" } else { "no" };
+        let away = if node.unavailable { "yes" } else { "no" };
         let slot = match node.slot {
             None => NOTHING.to_owned(),
             Some(SlotView { index, begun: true }) => format!("{index} begun"),
--- a/crates/member/src/transport.rs
+++ b/crates/member/src/transport.rs
@@ -12,11 +12,11 @@
 use tokio_util::bytes::Bytes;
 
 /// Frames queued for one peer, at most.
-pub const PEER_QUEUE: usize = 512;
+pub const PEER_QUEUE_CAPACITY: usize = 512;
 /// Frames queued from all peers to the member, at most.
-pub const INBOUND_QUEUE: usize = 4_096;
+pub const INBOUND_QUEUE_CAPACITY: usize = 4_096;
 /// Requests of the `fleet` program queued, at most.
-pub const REQUEST_QUEUE: usize = 64;
+pub const REQUEST_QUEUE_CAPACITY: usize = 64;
 
 /// The pause after an accept that failed.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
@@ -56,8 +56,8 @@
 
 /// Starts the task that accepts connections on `listener`.
 pub fn start_accepting(listener: TcpListener, log: Logger) -> Inbound {
-    let (message_sender, messages) = mpsc::channel(INBOUND_QUEUE);
-    let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE);
+    let (message_sender, messages) = mpsc::channel(INBOUND_QUEUE_CAPACITY);
+    let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
     let senders = InboundSenders { messages: message_sender, requests: request_sender };
     tokio::task::spawn_local(accept(listener, senders, log));
     Inbound { messages, requests }
@@ -65,7 +65,7 @@
 
 /// Starts the task that keeps a connection to `addr` and writes `hello` and then the frames of the returned queue.
 pub fn start_sending(addr: SocketAddr, hello: &Hello, log: Logger) -> mpsc::Sender<Vec<u8>> {
-    let (sender, queue) = mpsc::channel(PEER_QUEUE);
+    let (sender, queue) = mpsc::channel(PEER_QUEUE_CAPACITY);
     tokio::task::spawn_local(send_to(addr, Bytes::from(wire::encode(hello)), queue, log));
     sender
 }
--- a/crates/member/src/wire.rs
+++ b/crates/member/src/wire.rs
@@ -9,7 +9,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 /// Largest frame, in bytes.
-pub const MAX_FRAME: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// A connection as a stream and sink of frames.
 pub type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
@@ -17,7 +17,7 @@
 /// Frames a connection, with Nagle's algorithm off.
 pub fn framed(stream: TcpStream) -> FramedStream {
     let _ = stream.set_nodelay(true);
-    Framed::new(stream, LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec())
+    Framed::new(stream, LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec())
 }
 
 /// The first frame of a connection: who opened it and for what.
--- a/crates/member/tests/dark.rs
+++ b/crates/member/tests/dark.rs
@@ -41,7 +41,7 @@
 }
 
 fn all_serve(view: &RolloutView) -> bool {
-    view.nodes.len() == 7 && view.nodes.iter().all(|node| !node.away)
+    view.nodes.len() == 7 && view.nodes.iter().all(|node| !node.unavailable)
 }
 
 async fn wait_until_all_ready(load: &Load) {
--- a/crates/member/tests/seven.rs
+++ b/crates/member/tests/seven.rs
@@ -52,7 +52,7 @@
 }
 
 fn all_serve(view: &RolloutView) -> bool {
-    view.nodes.len() == 7 && view.nodes.iter().all(|node| !node.away)
+    view.nodes.len() == 7 && view.nodes.iter().all(|node| !node.unavailable)
 }
 
 fn no_slots(view: &RolloutView) -> bool {
--- a/crates/member/tests/status_report.rs
+++ b/crates/member/tests/status_report.rs
@@ -19,8 +19,8 @@
         id,
         version: "v1".into(),
         ready: true,
-        lost: false,
-        away: false,
+        unreachable: false,
+        unavailable: false,
         slot: None,
         step: "-".into(),
         blocked_by: None,
@@ -59,15 +59,15 @@
                 ..node(2)
             },
             NodeView {
-                away: true,
+                unavailable: true,
                 slot: Some(SlotView { index: 11, begun: true }),
                 step: "going".into(),
                 ..node(3)
             },
-            NodeView { away: true, slot: Some(SlotView { index: 12, begun: false }), ..node(4) },
-            NodeView { away: true, lost: true, ready: false, ..node(5) },
-            NodeView { away: true, ready: false, ..node(6) },
-            NodeView { away: true, step: "failed: too slow".into(), ..node(7) },
+            NodeView { unavailable: true, slot: Some(SlotView { index: 12, begun: false }), ..node(4) },
+            NodeView { unavailable: true, unreachable: true, ready: false, ..node(5) },
+            NodeView { unavailable: true, ready: false, ..node(6) },
+            NodeView { unavailable: true, step: "failed: too slow".into(), ..node(7) },
         ],
         servers: vec![
             server("s0", "draining"),
@@ -83,8 +83,8 @@
         epoch: 3,
         stage: "lists first".into(),
         reports: vec![
-            PresenceView { member: 1, serving: true, has_list: false },
-            PresenceView { member: 2, serving: false, has_list: true },
+            PresenceView { member: 1, serving: true, has_endpoint_list: false },
+            PresenceView { member: 2, serving: false, has_endpoint_list: true },
         ],
         fleet_size: 4,
         admission: "waits: a reason".into(),
