--- a/crates/member/src/error.rs
+++ b/crates/member/src/error.rs
@@ -1,56 +1,57 @@
-//! The error of this crate's boundary.
+//! The error type of this crate.
 
 use pinetrestle_fleet::{MAX_TASKS, MAX_TASK_NAME_BYTES};
 use pinetrestle_store::StoreError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a member could not start, go on, or take a request, or why a request had no response.
+/// An error of a member, or of a request that was sent to a member.
 #[derive(Debug, thiserror::Error)]
 pub enum MemberError {
-    /// The store, its disk or a socket failed.
+    /// The store, the disk or a socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Raft rejected its configuration or a read of its log.
+    /// Raft rejected its configuration, or failed to read its log.
     #[error(transparent)]
     Raft(#[from] raft::Error),
-    /// Stored bytes passed their checksum, but do not decode.
-    #[error("{what} does not decode")]
+    /// Stored data has a valid checksum but does not decode.
+    #[error("failed to decode {what}")]
     Decode {
-        /// What they should have been.
+        /// The kind of data, with an article, for example "the snapshot".
         what: &'static str,
     },
     /// A value could not be encoded for the store.
-    #[error("{what} does not encode")]
+    #[error("failed to encode {what}")]
     Encode {
-        /// What it was.
+        /// The kind of value, with an article, for example "a log record".
         what: &'static str,
     },
     /// The snapshot that the leader sent does not decode.
-    #[error("the leader's snapshot does not decode: another version of this program?")]
+    #[error("failed to decode the leader's snapshot; the leader may run another version of this program")]
     InvalidLeaderSnapshot,
-    /// A task's name is empty or too long.
-    #[error("a task's name has 1 to {MAX_TASK_NAME_BYTES} bytes, not {length}")]
+    /// The name of a task is empty or too long.
+    #[error("a task name must have 1 to {MAX_TASK_NAME_BYTES} bytes, not {length}")]
     InvalidTaskName {
-        /// The bytes it has.
+        /// The length of the name in bytes.
         length: usize,
     },
-    /// The member has as many tasks as it can have.
-    #[error("this member wants {MAX_TASKS} tasks already")]
+    /// The member already has the maximum number of tasks.
+    #[error("this member already has {MAX_TASKS} tasks, which is the maximum")]
     TooManyTasks,
-    /// A member gave no usable response to a request in time.
+    /// A member did not respond to a request in time, or its response could not be read.
     #[error("{addr}: {reason}")]
     NoResponse {
-        /// The member's address.
+        /// The address of the member.
         addr: SocketAddr,
-        /// What was missing.
+        /// How the request failed.
         reason: &'static str,
     },
 }
 
 impl From<StoreError> for MemberError {
     fn from(error: StoreError) -> MemberError {
-        // As an I/O error of the same kind, so that a failed disk can be told from damaged data.
+        // Keeps the kind of the I/O error, by which the caller distinguishes a failing disk from corrupt
+        // data.
         MemberError::Io(error.into())
     }
 }
--- a/crates/member/src/member/apply.rs
+++ b/crates/member/src/member/apply.rs
@@ -1,4 +1,4 @@
-//! Committed entries applied to the state machine, and a log line for each decision.
+//! Applies committed entries to the state machine and logs their outcomes.
 
 use super::Member;
 use crate::rollout::log_reason;
@@ -9,18 +9,19 @@
 use slog::{info, warn};
 
 impl Member {
-    /// Applies entries in the log's order; one that is in the snapshot already is skipped.
+    /// Applies committed entries in log order. Entries that the state machine already contains, because its
+    /// snapshot covers them, are skipped.
     pub(super) fn apply_committed(&mut self, entries: Vec<Entry>) {
         let now = self.now_ms();
         for entry in entries {
             let new = entry.index > self.state.applied_index();
-            // A new leader commits an entry without data.
+            // An entry without data is the one that a new leader appends at the start of its term.
             if !new || entry.get_entry_type() != EntryType::EntryNormal || entry.data.is_empty() {
                 continue;
             }
             match wire::decode::<LogEntry>(&entry.data) {
                 Some(decoded) => self.apply(now, entry.index, &decoded),
-                None => warn!(self.log, "entry does not decode"; "index" => entry.index),
+                None => warn!(self.log, "failed to decode a committed entry"; "index" => entry.index),
             }
         }
         self.expiry.observe(now, &self.state.leases);
@@ -50,8 +51,8 @@
         }
     }
 
-    /// One log line for each lease that begins or ends, with its reason. `previous` is the task's lease before the
-    /// command.
+    /// Logs each lease that begins, and each lease that ends with the reason. `previous` is the lease of the
+    /// task before `command` was applied.
     fn log_lease(&self, command: &Command, outcome: &Outcome, previous: Option<&Lease>) {
         let task = &command.task().0;
         match outcome {
--- a/crates/member/src/member/ready.rs
+++ b/crates/member/src/member/ready.rs
@@ -1,4 +1,5 @@
-//! Raft's `Ready`: what it has to persist, send and apply after a step, in the order that keeps it safe.
+//! Processing of Raft's `Ready`, the set of entries and state to persist, messages to send and entries to
+//! apply. Raft is safe only if these are carried out in the order given here.
 
 use super::output::StepOutput;
 use super::Member;
@@ -8,8 +9,11 @@
 use slog::info;
 
 impl Member {
-    /// Carries out what Raft has ready: snapshot, entries and hard state are durable before the messages that rest on
-    /// them leave; committed entries are applied.
+    /// Persists, sends and applies what Raft has ready. The snapshot, entries and hard state are durable
+    /// before the messages that depend on them are added to `output`.
+    ///
+    /// # Errors
+    /// If the store fails, or the leader's snapshot does not decode.
     pub(super) fn process_ready(&mut self, output: &mut StepOutput) -> Result<(), MemberError> {
         if !self.raft.has_ready() {
             return Ok(());
@@ -37,15 +41,16 @@
         self.compact()
     }
 
-    /// Replaces the state machine by the snapshot that the leader sent.
+    /// Stores a snapshot that the leader sent and replaces the state machine with it.
     fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), MemberError> {
         self.raft.mut_store().apply_snapshot(snapshot)?;
         self.state = wire::decode(&snapshot.data).ok_or(MemberError::InvalidLeaderSnapshot)?;
-        info!(self.log, "snapshot taken from the leader"; "index" => snapshot.get_metadata().index);
+        info!(self.log, "installed a snapshot from the leader"; "index" => snapshot.get_metadata().index);
         Ok(())
     }
 
-    /// Writes a snapshot of the state machine, and cuts the log before it, every `snapshot_interval` entries.
+    /// Writes a snapshot of the state machine and removes the log entries that it covers, once
+    /// `snapshot_interval` entries have been applied since the last snapshot.
     fn compact(&mut self) -> Result<(), MemberError> {
         let snapshot_index = self.raft.store().snapshot_index();
         let applied_index = self.state.applied_index();
--- a/crates/member/src/member/status.rs
+++ b/crates/member/src/member/status.rs
@@ -1,11 +1,11 @@
-//! The member's status report.
+//! Builds a member's status report.
 
 use super::Member;
 use crate::status::{LeaseView, Status};
 use raft::StateRole;
 
 impl Member {
-    /// The status report of this member, now.
+    /// Returns the current status report of this member.
     pub fn status(&mut self) -> Status {
         let now = self.now_ms();
         let own_tasks = self.leases.status(now);
--- a/crates/member/src/raft_storage/mod.rs
+++ b/crates/member/src/raft_storage/mod.rs
@@ -1,4 +1,5 @@
-//! Raft's log, hard state and snapshot of one member, kept in the crash-safe store and read by Raft from memory.
+//! The Raft storage of one member: log, hard state and snapshot. Every change is written to the crash-safe
+//! store of `pinetrestle-store`; Raft's reads are served from a copy in memory.
 
 mod record;
 mod storage_trait;
@@ -13,7 +14,7 @@
 /// The sequence number of the first record of a new log.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// Raft's storage of one member.
+/// The Raft storage of one member.
 #[derive(Debug)]
 pub struct RaftStorage {
     dir: PathBuf,
@@ -21,18 +22,19 @@
     hard_state: HardState,
     conf_state: ConfState,
     snapshot: Snapshot,
-    /// `entries[i]` has index `snapshot index + 1 + i`.
+    /// The entries after the snapshot: `entries[i]` has index `snapshot index + 1 + i`.
     entries: Vec<Entry>,
     incarnation: u64,
 }
 
 impl RaftStorage {
-    /// Opens the store in `dir`; a new one gets `voters` as its first configuration. Counts one more start, durable
-    /// before it returns.
+    /// Opens the store in `dir` and increments its incarnation, which is durable before this returns.
+    /// `voters` is the Raft configuration of a store that has recorded none; voters are recorded with each
+    /// snapshot.
     ///
     /// # Errors
-    /// [`MemberError::Io`] from the file system, [`MemberError::Decode`] for a snapshot or record that passed its
-    /// checksum but does not decode.
+    /// [`MemberError::Io`] if the file system fails, [`MemberError::Decode`] if a snapshot or record has a
+    /// valid checksum but does not decode.
     pub fn open(dir: &Path, voters: &[u64]) -> Result<RaftStorage, MemberError> {
         let opened = Log::open(dir, FIRST_SEQUENCE)?;
         let mut storage = RaftStorage {
@@ -56,103 +58,108 @@
         Ok(storage)
     }
 
-    /// The number of this start, 1 on a new store.
+    /// Returns the incarnation of the member: how often the store has been opened, including this time. It is
+    /// 1 for a new store.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The index of the last entry in the snapshot, 0 without one.
+    /// Returns the index of the last entry that the snapshot covers, or 0 if there is no snapshot.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    /// The state machine's bytes in the snapshot, none without one.
+    /// Returns the encoded state machine in the snapshot, which is empty if there is no snapshot.
     pub fn snapshot_data(&self) -> &[u8] {
         &self.snapshot.data
     }
 
-    /// Bytes of the store's log.
+    /// Returns the size of the store's log in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log.size_bytes()
     }
 
-    /// Appends entries from Raft; durable after [`RaftStorage::sync`].
+    /// Appends entries from Raft. They are durable after the next [`RaftStorage::sync`].
     ///
     /// # Errors
-    /// From the store.
+    /// If the store fails to write.
     pub fn append(&mut self, entries: &[Entry]) -> Result<(), MemberError> {
         if entries.is_empty() {
             return Ok(());
         }
-        self.write(&Record::of_entries(entries))?;
-        self.place_entries(entries);
+        self.write(&Record::from_entries(entries))?;
+        self.append_in_memory(entries);
         Ok(())
     }
 
-    /// Writes a new hard state; durable after [`RaftStorage::sync`].
+    /// Writes a new hard state. It is durable after the next [`RaftStorage::sync`].
     ///
     /// # Errors
-    /// From the store.
+    /// If the store fails to write.
     pub fn set_hard_state(&mut self, hard_state: &HardState) -> Result<(), MemberError> {
-        // Written first: after an error memory must not hold a vote or a commit that is not on disk.
-        self.write(&Record::of_hard_state(hard_state))?;
+        // The write comes first: if it fails, the copy in memory must not have a vote or commit index that is
+        // not on disk.
+        self.write(&Record::from_hard_state(hard_state))?;
         self.hard_state = hard_state.clone();
         Ok(())
     }
 
-    /// Writes a new commit index; durable after [`RaftStorage::sync`].
+    /// Writes a new commit index. It is durable after the next [`RaftStorage::sync`].
     ///
     /// # Errors
-    /// From the store.
+    /// If the store fails to write.
     pub fn set_commit(&mut self, commit: u64) -> Result<(), MemberError> {
         let hard_state = HardState { commit, ..self.hard_state.clone() };
         self.set_hard_state(&hard_state)
     }
 
-    /// Makes everything written so far durable.
+    /// Makes all writes so far durable.
     ///
     /// # Errors
-    /// From `fdatasync`.
+    /// If `fdatasync` fails.
     pub fn sync(&mut self) -> Result<(), MemberError> {
         self.log.sync()?;
         Ok(())
     }
 
-    /// Replaces the log up to the index of a snapshot that the leader sent.
+    /// Stores a snapshot that the leader sent, which replaces the entries up to its index.
     ///
     /// # Errors
-    /// From the store.
+    /// If the store fails to write.
     pub fn apply_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), MemberError> {
-        self.replace_snapshot(SnapshotFile::of_raft(snapshot))
+        self.replace_snapshot(SnapshotFile::from_raft(snapshot))
     }
 
-    /// Writes a snapshot of the state machine as of `index`, and cuts the log before it.
+    /// Writes `data`, the encoded state machine as of `index`, as the snapshot, and removes the entries that
+    /// it covers from the log.
     ///
     /// # Errors
-    /// From the store; [`MemberError::Raft`] for an index that is not in the log.
+    /// If the store fails to write, and [`MemberError::Raft`] if the entry at `index` is not in the log.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Result<(), MemberError> {
         let term = self.term(index)?;
         self.replace_snapshot(SnapshotFile { index, term, voters: self.conf_state.voters.clone(), data })
     }
 
-    /// Writes `file` as the snapshot, then all state after it into the log, then cuts the log before that. A crash
-    /// between any two steps leaves a store that opens to the same state.
+    /// Writes `file` as the snapshot, then appends everything that the snapshot does not hold to the store's
+    /// log (incarnation, voters, hard state, later entries), then removes all earlier records from the log. A
+    /// store left by a crash between any two of these steps opens to the same state.
     fn replace_snapshot(&mut self, file: SnapshotFile) -> Result<(), MemberError> {
         write_snapshot(&self.dir, &file.encode()?)?;
         self.install_snapshot(file);
-        let keep_from = self.log.next_sequence();
+        let first_kept = self.log.next_sequence();
         self.write(&Record::Incarnation(self.incarnation))?;
         self.write(&Record::Voters(self.conf_state.voters.clone()))?;
-        self.write(&Record::of_hard_state(&self.hard_state))?;
+        self.write(&Record::from_hard_state(&self.hard_state))?;
         if !self.entries.is_empty() {
-            self.write(&Record::of_entries(&self.entries))?;
+            self.write(&Record::from_entries(&self.entries))?;
         }
         self.log.sync()?;
-        self.log.compact(keep_from)?;
+        self.log.compact(first_kept)?;
         Ok(())
     }
 
-    /// Takes a snapshot into memory: entries that it covers, or that do not follow it, go.
+    /// Replaces the snapshot in memory. Entries that it covers are removed, and all entries if the first one
+    /// after it would leave a gap.
     fn install_snapshot(&mut self, file: SnapshotFile) {
         let index = file.index;
         self.conf_state.voters = file.voters.clone();
@@ -164,10 +171,10 @@
         self.snapshot = file.into_raft();
     }
 
-    /// Takes a record of the log into memory, as the store is opened.
+    /// Applies a record that was read from the store's log to the copy in memory.
     fn replay(&mut self, record: Record) -> Result<(), MemberError> {
         match record {
-            Record::Entries(encoded) => self.place_entries(&decode_entries(&encoded)?),
+            Record::Entries(encoded) => self.append_in_memory(&decode_entries(&encoded)?),
             Record::HardState { term, vote, commit } => {
                 self.hard_state = HardState { term, vote, commit, ..Default::default() };
             }
@@ -177,8 +184,10 @@
         Ok(())
     }
 
-    /// Takes entries into memory: each replaces those at its index and after. One that would leave a gap ends it.
-    fn place_entries(&mut self, entries: &[Entry]) {
+    /// Appends entries to the copy in memory. Each entry replaces all entries from its index on; entries that
+    /// the snapshot covers are skipped. At an entry that would leave a gap, it and the entries after it are
+    /// dropped.
+    fn append_in_memory(&mut self, entries: &[Entry]) {
         let base = self.snapshot_index();
         for entry in entries {
             if entry.index <= base {
--- a/crates/member/src/raft_storage/record.rs
+++ b/crates/member/src/raft_storage/record.rs
@@ -1,5 +1,6 @@
-//! The stored form of Raft's state: records of the store's log and the snapshot file, in postcard. The order of fields
-//! and of enum variants is the format: add at the end, never reorder.
+//! The stored form of Raft's state: the records of the store's log, and the snapshot file. Both are encoded
+//! with postcard, so the order of fields and of enum variants is part of the format: add at the end, never
+//! reorder.
 
 use crate::error::MemberError;
 use pinetrestle_store::Snapshot as StoredSnapshot;
@@ -10,69 +11,70 @@
 /// One record of the store's log.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Record {
-    /// Entries, each Raft's protobuf bytes; an entry replaces every one at its index and after.
+    /// Raft entries, each in Raft's protobuf encoding. An entry replaces all previously recorded entries from
+    /// its index on.
     Entries(Vec<Vec<u8>>),
     /// Raft's hard state.
     HardState {
         /// The current term.
         term: u64,
-        /// The candidate voted for in it, 0 if none.
+        /// The candidate that the member voted for in this term, or 0 if none.
         vote: u64,
         /// The commit index.
         commit: u64,
     },
-    /// The ids of the voters.
+    /// The member ids of the voters.
     Voters(Vec<u64>),
-    /// The number of a start of the member.
+    /// The incarnation of the member: the count of its starts.
     Incarnation(u64),
 }
 
 impl Record {
-    /// A record of these entries.
-    pub(super) fn of_entries(entries: &[Entry]) -> Record {
+    /// Creates a record of Raft entries.
+    pub(super) fn from_entries(entries: &[Entry]) -> Record {
         Record::Entries(entries.iter().map(|entry| entry.write_to_bytes().unwrap_or_default()).collect())
     }
 
-    /// A record of this hard state.
-    pub(super) fn of_hard_state(state: &HardState) -> Record {
+    /// Creates a record of Raft's hard state.
+    pub(super) fn from_hard_state(state: &HardState) -> Record {
         Record::HardState { term: state.term, vote: state.vote, commit: state.commit }
     }
 
-    /// The record's stored bytes.
+    /// Encodes the record for the store's log.
     pub(super) fn encode(&self) -> Result<Vec<u8>, MemberError> {
-        postcard::to_stdvec(self).map_err(|_| MemberError::Encode { what: "record" })
+        postcard::to_stdvec(self).map_err(|_| MemberError::Encode { what: "a log record" })
     }
 
-    /// The record of these stored bytes.
+    /// Decodes a record of the store's log.
     pub(super) fn decode(bytes: &[u8]) -> Result<Record, MemberError> {
         postcard::from_bytes(bytes).map_err(|_| MemberError::Decode { what: "a log record" })
     }
 }
 
-/// The entries of [`Record::Entries`].
+/// Decodes the Raft entries of a [`Record::Entries`].
 pub(super) fn decode_entries(encoded: &[Vec<u8>]) -> Result<Vec<Entry>, MemberError> {
     encoded
         .iter()
-        .map(|bytes| Entry::parse_from_bytes(bytes).map_err(|_| MemberError::Decode { what: "an entry" }))
+        .map(|bytes| Entry::parse_from_bytes(bytes).map_err(|_| MemberError::Decode { what: "a Raft entry" }))
         .collect()
 }
 
-/// What the snapshot file holds.
+/// The content of the snapshot file.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct SnapshotFile {
-    /// The index of the last entry in it.
+    /// The index of the last entry that the snapshot covers.
     pub(super) index: u64,
     /// The term of that entry.
     pub(super) term: u64,
-    /// The ids of the voters as of that entry.
+    /// The member ids of the voters as of that entry.
     pub(super) voters: Vec<u64>,
-    /// The state machine's bytes.
+    /// The encoded state machine.
     pub(super) data: Vec<u8>,
 }
 
 impl SnapshotFile {
-    /// The stored form of a snapshot that the leader sent.
-    pub(super) fn of_raft(snapshot: &Snapshot) -> SnapshotFile {
+    /// Converts a snapshot that the leader sent to the stored form.
+    pub(super) fn from_raft(snapshot: &Snapshot) -> SnapshotFile {
         let meta = snapshot.get_metadata();
         SnapshotFile {
             index: meta.index,
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The snapshot as Raft has it.
+    /// Converts the stored form to Raft's type.
     pub(super) fn into_raft(self) -> Snapshot {
         let mut snapshot = Snapshot { data: self.data.into(), ..Default::default() };
         let meta = snapshot.mut_metadata();
@@ -92,14 +94,14 @@
         snapshot
     }
 
-    /// What the store writes.
+    /// Encodes the snapshot for the store.
     pub(super) fn encode(&self) -> Result<StoredSnapshot, MemberError> {
-        let payload = postcard::to_stdvec(self).map_err(|_| MemberError::Encode { what: "snapshot" })?;
+        let payload = postcard::to_stdvec(self).map_err(|_| MemberError::Encode { what: "the snapshot" })?;
         Ok(StoredSnapshot { last_sequence: self.index, payload })
     }
 
-    /// The snapshot that the store has read.
+    /// Decodes a snapshot that was read from the store.
     pub(super) fn decode(stored: &StoredSnapshot) -> Result<SnapshotFile, MemberError> {
-        postcard::from_bytes(&stored.payload).map_err(|_| MemberError::Decode { what: "snapshot" })
+        postcard::from_bytes(&stored.payload).map_err(|_| MemberError::Decode { what: "the snapshot" })
     }
 }
--- a/crates/member/src/raft_storage/storage_trait.rs
+++ b/crates/member/src/raft_storage/storage_trait.rs
@@ -1,4 +1,4 @@
-//! Raft's reads of its storage, answered from memory.
+//! Implements raft-rs's `Storage` trait, through which Raft reads its log, from the copy in memory.
 
 use super::RaftStorage;
 use raft::eraftpb::{Entry, Snapshot};
--- a/crates/member/src/rollout/mod.rs
+++ b/crates/member/src/rollout/mod.rs
@@ -1,6 +1,8 @@
-//! A member's part in drains, releases and the recovery from a power loss: it feeds the state machines of
-//! `pinetrestle-rollout` and `pinetrestle-recovery` and turns what they decide into entries to propose and actions for
-//! the front node. Nothing here blocks, and nothing is decided here.
+//! Runs drains, releases and the recovery from a power loss at one member.
+//!
+//! [`RolloutDriver`] passes time, the replicated state and local observations to the state machines of
+//! `pinetrestle-rollout` and `pinetrestle-recovery`, which make the decisions, and turns their decisions into
+//! log entries to propose and actions for the member's front node. Nothing here blocks.
 
 mod leader_reports;
 mod pending;
@@ -25,58 +27,64 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// Raft's view of this member.
+/// The Raft state of this member.
 #[derive(Debug, Clone, Copy)]
 pub struct RaftView {
-    /// The member's term.
+    /// The current term of the member.
     pub term: u64,
-    /// Whether a leader is known.
+    /// Whether the member knows a leader.
     pub has_leader: bool,
-    /// Whether this member is the leader.
-    pub leads: bool,
+    /// Whether the member is the leader.
+    pub is_leader: bool,
 }
 
-/// What the services beside the member have observed last.
+/// The latest observations of the services that run beside the member in its process
+/// ([`crate::local_services`]).
 #[derive(Debug, Clone, Default)]
 pub struct Observations {
-    /// The front node.
+    /// The state of the front node.
     pub front_node: Observation,
-    /// The endpoint list of discovery, as the relay has it.
+    /// The index servers on discovery's endpoint list, from the relay; `None` while discovery does not respond.
     pub discovered: DiscoveredServers,
-    /// The last change of each index server that the front node has been notified of.
+    /// For each index server that was ever drained, by name, the log index of the last change of its phase
+    /// (drain, return, ramp stage) that the front node's endpoint list shows.
     pub notified_changes: BTreeMap<String, u64>,
 }
 
-/// What one tick decided.
+/// The output of one tick.
 #[derive(Debug, Default)]
 pub struct RolloutStep {
-    /// Entries to propose.
+    /// Log entries to propose.
     pub entries: Vec<LogEntry>,
-    /// What to do with the front node.
+    /// The action for the process of the front node: whether to start, stop or kill it.
     pub front_node_action: Option<ProcessAction>,
 }
 
-/// One member's part. Time is the member's monotonic milliseconds.
+/// Runs drains, releases and the recovery from a power loss at one member. Times are milliseconds of the
+/// member's monotonic clock.
 pub struct RolloutDriver {
     member: MemberId,
-    /// The file's plan; a member without one takes no part.
+    /// The plan from the configuration file; `None` if the file has no `rollout` section.
     plan: Option<Plan>,
-    /// Keeps the front node up and carries out its steps; none where the file names no front node.
+    /// Keeps the front node running and carries out its steps; `None` if the configuration names no front
+    /// node.
     agent: Option<Agent>,
+    /// Coordinates releases and ramps while this member holds the release lease.
     coordinator: RolloutCoordinator,
-    /// Watches the peers' heartbeats while this member is the leader.
+    /// Declares peers unreachable if their messages stop; `Some` while this member is the leader.
     failure_detector: Option<FailureDetector>,
     leader_reports: LeaderReports,
     recovery: RecoveryDriver,
     pending: PendingCommands,
-    /// When each drain that the front node was notified of was last reported.
-    notified_reports: BTreeMap<String, RetryTimer>,
-    /// What the services beside the member have observed last.
+    /// For each index server, limits how often the acknowledgement of its drain is proposed again.
+    acknowledgement_timers: BTreeMap<String, RetryTimer>,
+    /// The latest observations of the services that run beside the member.
     pub observations: Observations,
 }
 
 impl RolloutDriver {
-    /// The part of the member with this file, in its start number `incarnation`.
+    /// Creates the driver of a member from its configuration. `incarnation` is the count of the member's
+    /// starts.
     pub fn new(file: &FleetConfig, incarnation: u64) -> RolloutDriver {
         let member = MemberId(file.id);
         let agent = file.front_node.as_ref().map(|front| {
@@ -85,7 +93,7 @@
                 node: member,
                 versions,
                 initial_version: front.initial_version.clone(),
-                // Reports of this incarnation are numbered above those of the ones before.
+                // The reports of this incarnation have higher sequence numbers than those of earlier ones.
                 report_seq_base: incarnation << 32,
                 stop_timeout_ms: front.stop_timeout_ms,
                 start_timeout_ms: front.start_timeout_ms,
@@ -100,36 +108,37 @@
             leader_reports: LeaderReports::default(),
             recovery: RecoveryDriver::new(file, incarnation),
             pending: PendingCommands::default(),
-            notified_reports: BTreeMap::new(),
+            acknowledgement_timers: BTreeMap::new(),
             observations: Observations::default(),
         }
     }
 
-    /// Whether this member takes part in releases at all.
-    pub fn takes_part(&self) -> bool {
+    /// Returns whether this member takes part in drains, releases and recovery: whether its configuration
+    /// file has a `rollout` section.
+    pub fn is_enabled(&self) -> bool {
         self.plan.is_some()
     }
 
-    /// This member became the leader, or is it no longer.
-    pub fn set_leading(&mut self, now: u64, leads: bool, state: &RolloutState) {
-        self.failure_detector = leads.then(|| FailureDetector::new(now, state));
+    /// Records that this member became the leader or is no longer the leader.
+    pub fn set_leader(&mut self, now: u64, is_leader: bool, state: &RolloutState) {
+        self.failure_detector = is_leader.then(|| FailureDetector::new(now, state));
     }
 
-    /// A message from a peer: its heartbeat.
+    /// Records that a Raft message arrived from the member `from`; every message counts as a heartbeat.
     pub fn record_heartbeat(&mut self, now: u64, from: u64) {
         if let Some(detector) = &mut self.failure_detector {
             detector.record_message(now, MemberId(from));
         }
     }
 
-    /// Takes an operator's command, to be proposed with the next tick; its outcome goes to `response`.
+    /// Accepts an operator's command, which the next tick proposes. Its outcome is sent to `response`.
     pub fn submit(&mut self, now: u64, command: Command, response: oneshot::Sender<Response>) {
-        let takes_part = self.takes_part();
-        self.pending.submit(now, command, response, takes_part);
+        let rollout_enabled = self.is_enabled();
+        self.pending.submit(now, command, response, rollout_enabled);
     }
 
-    /// What to propose at `now`, and what to do with the front node. `release_token` is the release lease's, if this
-    /// member may act under it.
+    /// Returns the entries to propose at `now` and the action for the front node. `release_token` is the
+    /// token of the release lease if this member may act under that lease.
     pub fn tick(
         &mut self,
         now: u64,
@@ -146,7 +155,7 @@
         commands.extend(self.tick_leader(now, rollout));
         let agent = self.tick_agent(now, rollout);
         commands.extend(agent.commands);
-        commands.extend(self.report_notified(now, rollout));
+        commands.extend(self.acknowledge_drains(now, rollout));
         let rollout_entries = commands.into_iter().map(LogEntry::Rollout);
         let recovery_entries = recovery_commands.into_iter().map(LogEntry::Recovery);
         RolloutStep {
@@ -166,8 +175,8 @@
             raft,
             release_token,
             plan: self.plan.as_ref(),
-            front: &self.observations.front_node,
-            has_front: self.agent.is_some(),
+            front_node: &self.observations.front_node,
+            has_front_node: self.agent.is_some(),
             has_endpoint_list: self.observations.discovered.is_some(),
         };
         self.recovery.tick(now, state, &inputs)
@@ -188,16 +197,17 @@
         agent.poll(now, &self.observations.front_node.state, state, self.recovery.start_permission())
     }
 
-    /// Reports drains that the front node has been notified of and the state does not yet count.
-    fn report_notified(&mut self, now: u64, state: &RolloutState) -> Vec<Command> {
+    /// Acknowledges drains that the front node's endpoint list shows, until the replicated state contains the
+    /// acknowledgement.
+    fn acknowledge_drains(&mut self, now: u64, state: &RolloutState) -> Vec<Command> {
         let mut commands = Vec::new();
         for (name, server) in state.servers() {
-            let unreported = server.phase == ServerPhase::Draining
+            let unacknowledged = server.phase == ServerPhase::Draining
                 && !server.acknowledged_by.contains(&self.member)
                 && self.observations.notified_changes.get(name) == Some(&server.change_index);
-            if !unreported {
-                self.notified_reports.remove(name);
-            } else if self.notified_reports.entry(name.to_owned()).or_default().fire_if_due(now) {
+            if !unacknowledged {
+                self.acknowledgement_timers.remove(name);
+            } else if self.acknowledgement_timers.entry(name.to_owned()).or_default().fire_if_due(now) {
                 commands.push(Command::AcknowledgeDrain {
                     node: self.member,
                     server: name.to_owned(),
@@ -208,28 +218,30 @@
         commands
     }
 
-    /// What the fleet has decided on index servers for this member's front node.
+    /// Returns the index servers that this member's front node must not send to, and the log index of the
+    /// last change of the phase (drain, return, ramp stage) of each index server that was ever drained.
     pub fn drain_view(&self, state: &RolloutState) -> DrainView {
-        let closed = state.servers().filter(|(name, _)| !state.may_send(self.member, name));
+        let drained = state.servers().filter(|(name, _)| !state.may_send(self.member, name));
         let changed = state.servers().filter(|(_, server)| server.change_index > 0);
         DrainView {
-            drained_servers: closed.map(|(name, _)| name.to_owned()).collect(),
+            drained_servers: drained.map(|(name, _)| name.to_owned()).collect(),
             changes: changed.map(|(name, server)| (name.to_owned(), server.change_index)).collect(),
         }
     }
 
-    /// The status report's part on drains and releases; none before a plan is agreed.
+    /// Returns the status of drains and releases, or `None` if no plan is in force yet.
     pub fn status(&self, state: &RolloutState) -> Option<RolloutView> {
         status::rollout_view(state, self.agent.as_ref())
     }
 
-    /// The status report's part on the recovery from a power loss; none where this member takes no part.
+    /// Returns the status of the recovery from a power loss, or `None` if this member takes no part in it.
     pub fn recovery_status(&self, state: &RecoveryState) -> Option<RecoveryView> {
-        self.takes_part().then(|| status::recovery_view(state, self.recovery.admission()))
+        self.is_enabled().then(|| status::recovery_view(state, self.recovery.admission()))
     }
 }
 
-/// The reason in the log line of an outcome; none where it is not worth a line.
+/// Returns the `reason` with which an outcome is logged, or `None` if the command changed nothing and is not
+/// logged.
 pub fn log_reason(outcome: &Outcome) -> Option<String> {
     match outcome {
         Outcome::Applied => Some("done".to_owned()),
--- a/crates/member/src/rollout/status.rs
+++ b/crates/member/src/rollout/status.rs
@@ -1,4 +1,4 @@
-//! The status report's parts on drains, releases and the recovery from a power loss.
+//! Builds the sections of the status report on drains, releases and the recovery from a power loss.
 
 use crate::status::{
     HaltView, NodeView, PresenceView, RecoveryView, ReleaseView, RolloutView, ServerView, SlotView,
@@ -9,7 +9,8 @@
     Agent, Direction, NodeState, Release, ReleaseStage, RolloutState, ServerPhase, ServerState, StepState,
 };
 
-/// The recovery from a power loss, with the decision on this member's front node.
+/// Returns the state of the recovery from a power loss, with the decision whether this member's front node is
+/// admitted.
 pub(super) fn recovery_view(state: &RecoveryState, decision: &AdmissionDecision) -> RecoveryView {
     let reports = state.presences().iter().map(|(member, presence)| PresenceView {
         member: member.0,
@@ -36,10 +37,10 @@
     }
 }
 
-/// Drains and releases; none before a plan is agreed.
+/// Returns the state of drains and releases, or `None` if no plan is in force yet.
 pub(super) fn rollout_view(state: &RolloutState, agent: Option<&Agent>) -> Option<RolloutView> {
     let plan = state.plan()?;
-    let away_servers = state.servers().filter(|(_, server)| server.is_unavailable());
+    let unavailable = state.servers().filter(|(_, server)| server.is_unavailable());
     Some(RolloutView {
         revision: plan.revision,
         node_limit: plan.node_budget.limit(plan.nodes.len()),
@@ -48,7 +49,7 @@
         halt: state.halt().map(|halt| HaltView { id: halt.id.clone(), reason: halt.reason.clone() }),
         release: state.release().map(release_view),
         nodes: state.nodes().map(|(id, node)| node_view(state, id, node)).collect(),
-        servers: away_servers.map(|(name, server)| server_view(name, server, plan.ramp_stages)).collect(),
+        servers: unavailable.map(|(name, server)| server_view(name, server, plan.ramp_stages)).collect(),
         agent: agent.map(Agent::activity),
     })
 }
@@ -103,6 +104,8 @@
 
 fn server_view(name: &str, server: &ServerState, ramp_stages: u32) -> ServerView {
     let phase = match server.phase {
+        // Only unavailable servers are listed, so a server in this phase is one that discovery lists as not
+        // up.
         ServerPhase::Serving => "out by itself".to_owned(),
         ServerPhase::Draining => "draining".to_owned(),
         ServerPhase::Drained => "drained".to_owned(),
