--- a/crates/member/src/client.rs
+++ b/crates/member/src/client.rs
@@ -1,4 +1,4 @@
-//! The client side of a member's command port, as the `fleet` program uses it.
+//! The client that the `fleet` program uses to send requests to a member.
 
 use crate::error::MemberError;
 use crate::wire::{self, Hello, Request, Response};
@@ -9,22 +9,28 @@
 use tokio::time::timeout;
 use tokio_util::bytes::Bytes;
 
-/// Sends one request to the member at `addr`; connecting and the response may take up to `wait` each.
+/// Sends a request to the member at `addr` and returns its response. Connecting and waiting for the response
+/// may take up to `time_limit` each.
 ///
 /// # Errors
-/// [`MemberError::Io`] when the connection fails, [`MemberError::NoResponse`] when it or the response takes too long,
-/// or the response is missing or does not decode.
-pub async fn request(addr: SocketAddr, request: Request, wait: Duration) -> Result<Response, MemberError> {
+/// [`MemberError::Io`] if connecting or sending fails. [`MemberError::NoResponse`] if connecting or the
+/// response takes too long, the connection ends without a response, or the response does not decode.
+pub async fn request(
+    addr: SocketAddr,
+    request: Request,
+    time_limit: Duration,
+) -> Result<Response, MemberError> {
     let no_response = |reason| MemberError::NoResponse { addr, reason };
-    let stream =
-        timeout(wait, TcpStream::connect(addr)).await.map_err(|_| no_response("no connection"))??;
+    let stream = timeout(time_limit, TcpStream::connect(addr))
+        .await
+        .map_err(|_| no_response("connecting timed out"))??;
     let mut framed = wire::framed(stream);
     framed.send(Bytes::from(wire::encode(&Hello::Command(request)))).await?;
-    match timeout(wait, framed.next()).await {
+    match timeout(time_limit, framed.next()).await {
         Ok(Some(Ok(frame))) => {
-            wire::decode(&frame).ok_or_else(|| no_response("an answer that does not decode"))
+            wire::decode(&frame).ok_or_else(|| no_response("failed to decode the response"))
         }
-        Ok(_) => Err(no_response("closed without an answer")),
-        Err(_) => Err(no_response("no answer in time")),
+        Ok(_) => Err(no_response("the connection ended without a response")),
+        Err(_) => Err(no_response("the response timed out")),
     }
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,24 +1,45 @@
-//! One member of a fleet of front nodes, and the `pinetrestle fleet` program.
+//! A member of a fleet of front nodes, and the `pinetrestle fleet` program, which runs a member and sends
+//! operators' commands to running members.
 //!
-//! The decisions are in `pinetrestle-fleet`, `pinetrestle-rollout` and `pinetrestle-recovery` (no I/O, no clock);
-//! this crate carries them out:
+//! The members of a fleet replicate their state with Raft. They coordinate releases of the front nodes,
+//! drains of index servers, leases of fleet-wide tasks, and the return of the fleet from a power loss.
+//! `pinetrestle-fleet`, `pinetrestle-rollout` and `pinetrestle-recovery` make the decisions, without I/O or a
+//! clock; this crate carries them out.
 //!
-//! | module | job |
+//! # Terms
+//!
+//! - *Front node*: the process that receives the clients' queries and sends their parts to index servers. A
+//!   member runs at most one front node, as a separate process.
+//! - *Index server*: a process that holds some shards of the search index. The front node's crates call it a
+//!   *replica* of its shards.
+//! - *Discovery*: the service that publishes the *endpoint list*, the list of index servers. A member's
+//!   *relay* passes the list on to its front node, with the fleet's drains applied.
+//! - *Lease*: the right of one member to act on a task, limited in time. The holder of the *release lease*
+//!   coordinates releases.
+//! - *Incarnation*: the count of a member's starts, kept on its disk.
+//!
+//! # Modules
+//!
+//! | module | content |
 //! | --- | --- |
-//! | [`cli`], [`status_report`], [`client`] | the `fleet` program: its command line, what it prints, its requests to a member |
-//! | [`config`] | the fleet's operator file |
+//! | [`cli`], [`status_report`] | the `fleet` program: its command line and its output |
+//! | [`client`] | the requests of the `fleet` program to a member |
+//! | [`config`] | the configuration file of a member |
 //! | [`runtime`] | the main loop of a member |
-//! | [`member`] | Raft stepped by ticks and messages, committed entries applied, leases held and used |
-//! | [`rollout`] | this member's part in drains, releases and the recovery from a power loss |
-//! | [`state_machine`] | the replicated state and the entries that change it |
-//! | [`raft_storage`] | Raft's log, hard state and snapshot, kept by `pinetrestle-store` |
-//! | [`wire`], [`status`], [`transport`] | frames, the status report, the sockets between members |
-//! | [`local_services`], [`front_node_process`], [`relay`], [`http_client`] | the front node's process and the endpoint list it watches |
-//! | [`task_sink`] | a stand-in task sink that takes actions through the fence |
-//! | [`error`], [`logging`] | the error of this crate's boundary, structured logs |
+//! | [`member`] | steps Raft, applies committed entries, acquires leases and acts under them |
+//! | [`rollout`] | runs drains, releases and the recovery from a power loss at one member |
+//! | [`state_machine`] | the replicated state and the log entries that change it |
+//! | [`raft_storage`] | Raft's log, hard state and snapshot, stored by `pinetrestle-store` |
+//! | [`wire`], [`status`], [`transport`] | the wire format, the status report, the sockets of a member |
+//! | [`local_services`] | the services that run beside a member in its process |
+//! | [`front_node_process`] | starts, stops and polls the front node's process |
+//! | [`relay`] | the endpoint list that the front node watches |
+//! | [`http_client`] | HTTP requests to the front node and to discovery |
+//! | [`task_sink`] | a stand-in for the service on which lease holders act; it checks fencing tokens |
+//! | [`error`], [`logging`] | the error type of this crate, structured logs |
 //!
-//! The front node does not start a member: the platform's pages allow it no further listeners and no disk, so `run` in
-//! `deploy/balancer.toml` does not name it. See `docs/fleet.md`.
+//! A front node does not start a member, and `run` in `deploy/balancer.toml` does not start one either: the
+//! platform allows a front node no further listeners and no disk. See `docs/fleet.md`.
 
 #![warn(missing_docs)]
 
--- a/crates/member/src/main.rs
+++ b/crates/member/src/main.rs
@@ -1,4 +1,4 @@
-//! The `pinetrestle` program; its command line is in [`pinetrestle_member::cli`].
+//! The `pinetrestle` program. [`pinetrestle_member::cli`] has its command line.
 
 fn main() -> std::process::ExitCode {
     pinetrestle_member::cli::main()
--- a/crates/member/src/member/mod.rs
+++ b/crates/member/src/member/mod.rs
@@ -116,7 +116,7 @@
     /// then processes Raft's `Ready`.
     ///
     /// # Errors
-    /// If the store fails. The caller must then discard `output`, which may rest on writes that are not on
+    /// If the store fails. The caller must then discard `output`, which may depend on writes that are not on
     /// disk.
     pub fn tick(&mut self, output: &mut StepOutput) -> Result<(), MemberError> {
         let now = self.now_ms();
--- a/crates/member/src/rollout/mod.rs
+++ b/crates/member/src/rollout/mod.rs
@@ -44,7 +44,8 @@
 pub struct Observations {
     /// The state of the front node.
     pub front_node: Observation,
-    /// The index servers on discovery's endpoint list, from the relay; `None` while discovery does not respond.
+    /// The index servers on discovery's endpoint list, from the relay; `None` while discovery does not
+    /// respond.
     pub discovered: DiscoveredServers,
     /// For each index server that was ever drained, by name, the log index of the last change of its phase
     /// (drain, return, ramp stage) that the front node's endpoint list shows.
--- a/crates/member/src/runtime.rs
+++ b/crates/member/src/runtime.rs
@@ -1,5 +1,5 @@
-//! The main loop of a member: ticks, messages of peers and requests drive [`Member`], and its output goes to the
-//! sockets and to the services beside it.
+//! The main loop of a member. It passes ticks, peers' messages and requests to [`Member`], and [`Member`]'s
+//! output to the sockets and to the services that run in the same process ([`LocalServices`]).
 
 use crate::config::FleetConfig;
 use crate::error::MemberError;
@@ -15,21 +15,22 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The first wait before the store of a member whose disk has failed is opened again; it doubles each time.
-const FIRST_REOPEN_WAIT: Duration = Duration::from_millis(250);
-/// The longest of these waits: each opening appends a record, also where only its sync fails.
-const LONGEST_REOPEN_WAIT: Duration = Duration::from_secs(4);
+/// The delay after the first failed attempt to reopen the store. It doubles after each further failure.
+const INITIAL_REOPEN_DELAY: Duration = Duration::from_millis(250);
+/// The maximum delay between two attempts to reopen the store. An attempt that fails only at the sync has
+/// already appended a record to the log, so attempts at a short interval would let the log grow.
+const MAX_REOPEN_DELAY: Duration = Duration::from_secs(4);
 
-/// The outbound queues.
+/// The queues of the outbound connections.
 struct Outbound {
-    /// To each peer, by its id.
+    /// The queue to each peer, by member id.
     peers: BTreeMap<u64, mpsc::Sender<Vec<u8>>>,
-    /// To the task sink, where the file names one.
+    /// The queue to the task sink, if the configuration names one.
     sink: Option<mpsc::Sender<Vec<u8>>>,
 }
 
 impl Outbound {
-    /// Queues the step's messages and actions; a full queue drops them.
+    /// Queues the messages and actions of a tick. Drops those for which a queue has no room.
     fn send(&self, output: &mut StepOutput) {
         for message in output.messages.drain(..) {
             if let Some(queue) = self.peers.get(&message.to) {
@@ -44,13 +45,17 @@
     }
 }
 
-/// Runs the member of this file until the process ends: listens on its address, ticks, and carries out what it decides.
-/// When the store fails, at the start or later, the member is dropped, since what it wrote is in doubt, and opened
-/// again from what is on disk, as often as that takes.
+/// Runs a member until the process ends: accepts connections on `listen`, ticks the member every `tick`, and
+/// carries out its output. `peers` are the ids and addresses of the other members, `sink` is the address of
+/// the task sink.
+///
+/// If the store fails while the member runs, the member is dropped, since it is unknown which of its writes
+/// are on disk, and opened again from the data on disk. Opening is retried for as long as the disk fails,
+/// both then and at the start.
 ///
 /// # Errors
-/// When the address can't be bound for [`pinetrestle_system_calls::STARTUP_TIMEOUT`], or the store can't be opened for
-/// another reason than that its disk fails.
+/// If the address can't be bound within [`pinetrestle_system_calls::STARTUP_TIMEOUT`], or if the store can't
+/// be opened at the start for a reason other than a failing disk.
 pub async fn run(
     config: FleetConfig,
     listen: SocketAddr,
@@ -80,7 +85,8 @@
         tokio::select! {
             _ = ticks.tick() => if let Err(error) = member.tick(&mut output) {
                 warn!(log, "store failed, stepping down"; "error" => %error);
-                // The output is dropped: no vote, acknowledgement or action may rest on what is not on disk.
+                // `output` is dropped: no vote, acknowledgement or action may depend on data that is not on
+                // disk.
                 let config = member.config().clone();
                 drop(member);
                 member = reopen(config, &mut inbound, &log).await;
@@ -88,30 +94,30 @@
                 continue;
             },
             Some(bytes) = inbound.messages.recv() => member.receive(&bytes),
-            Some(incoming) = inbound.requests.recv() => answer(&mut member, incoming),
+            Some(incoming) = inbound.requests.recv() => handle_request(&mut member, incoming),
         }
         outbound.send(&mut output);
         services.carry_out(&mut output);
     }
 }
 
-/// Opens the member, waiting where its disk fails.
+/// Opens the member, and retries while the disk fails.
 async fn open(config: FleetConfig, inbound: &mut Inbound, log: &Logger) -> Result<Member, MemberError> {
     match Member::open(config.clone(), log.clone()) {
         Err(MemberError::Io(error)) if is_transient_disk_error(&error) => {
-            warn!(log, "store can't be opened yet"; "error" => %error);
+            warn!(log, "cannot open the store, retrying"; "error" => %error);
             Ok(reopen(config, inbound, log).await)
         }
         opened => opened,
     }
 }
 
-/// Opens the member again once its store can be written; until then messages of peers are dropped and requests
-/// rejected.
+/// Opens the member, and retries after any error until that succeeds. In the meantime, peers' messages are
+/// dropped and requests are rejected.
 async fn reopen(config: FleetConfig, inbound: &mut Inbound, log: &Logger) -> Member {
-    let mut wait = FIRST_REOPEN_WAIT;
+    let mut delay = INITIAL_REOPEN_DELAY;
     let mut next_attempt = Instant::now();
-    let mut reason = String::new();
+    let mut last_error = String::new();
     loop {
         tokio::select! {
             () = tokio::time::sleep_until(next_attempt) => {
@@ -120,27 +126,29 @@
                         info!(log, "store is back");
                         return member;
                     }
-                    Err(error) if error.to_string() == reason => {}
+                    // An error is logged once, not again for each attempt that fails with it.
+                    Err(error) if error.to_string() == last_error => {}
                     Err(error) => {
                         warn!(log, "store still fails"; "error" => %error);
-                        reason = error.to_string();
+                        last_error = error.to_string();
                     }
                 }
-                next_attempt = Instant::now() + wait;
-                wait = (wait * 2).min(LONGEST_REOPEN_WAIT);
+                next_attempt = Instant::now() + delay;
+                delay = (delay * 2).min(MAX_REOPEN_DELAY);
             }
-            // Raft retransmits what matters.
+            // Dropping messages is safe: Raft retransmits those that it needs.
             Some(_) = inbound.messages.recv() => {}
             Some(incoming) = inbound.requests.recv() => {
-                let why = format!("the member's store fails: {reason}");
-                let _ = incoming.response.send(Response::Rejected(why));
+                let rejection = format!("the member cannot open its store: {last_error}");
+                let _ = incoming.response.send(Response::Rejected(rejection));
             }
         }
     }
 }
 
-/// Answers a request at once, but for a command on drains and releases, which is answered once it is applied.
-fn answer(member: &mut Member, incoming: IncomingRequest) {
+/// Handles a request. The response is sent immediately, except for a [`Request::Rollout`], whose response is
+/// sent once its command has been applied.
+fn handle_request(member: &mut Member, incoming: IncomingRequest) {
     let response = match incoming.request {
         Request::Rollout(command) => return member.submit(command, incoming.response),
         Request::Status => Response::Status(Box::new(member.status())),
--- a/crates/member/src/state_machine.rs
+++ b/crates/member/src/state_machine.rs
@@ -1,60 +1,62 @@
-//! The replicated state machine of a fleet: leases, drains and releases, and the recovery from a power loss. Every member
-//! applies the same entries in the log's order.
+//! The replicated state machine of a fleet: leases, drains and releases, and the recovery from a power loss.
+//! Every member applies the same entries in log order, and so reaches the same state.
 //!
-//! Entries and the state are stored with postcard: the order of fields and of enum variants is the format.
+//! Log entries and the state are stored with postcard: the order of fields and of enum variants is part of
+//! the format.
 
 use pinetrestle_fleet::{Command, LeaseTable, Outcome, Task, Token};
 use pinetrestle_recovery::RecoveryState;
 use pinetrestle_rollout::{RolloutState, RELEASE_TASK};
 use serde::{Deserialize, Serialize};
 
-/// One entry of the replicated log.
+/// An entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogEntry {
-    /// On leases.
+    /// A command on leases.
     Lease(Command),
-    /// On drains and releases.
+    /// A command on drains and releases.
     Rollout(pinetrestle_rollout::Command),
-    /// On the recovery from a power loss.
+    /// A command on the recovery from a power loss.
     Recovery(pinetrestle_recovery::Command),
 }
 
-/// The outcome of an entry.
+/// The outcome of applying a [`LogEntry`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryOutcome {
-    /// On leases.
+    /// The outcome of a command on leases.
     Lease(Outcome),
-    /// On drains and releases.
+    /// The outcome of a command on drains and releases.
     Rollout(pinetrestle_rollout::Outcome),
-    /// On the recovery from a power loss.
+    /// The outcome of a command on the recovery from a power loss.
     Recovery(pinetrestle_recovery::Outcome),
 }
 
-/// The replicated state; a snapshot is its serialized form.
+/// The replicated state. The data of a snapshot is this type encoded with postcard.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StateMachine {
     /// The lease of each task.
     pub leases: LeaseTable,
-    /// The plan, releases, drains, and what is away.
+    /// The plan, the release, drains, and the state of each front node and index server.
     pub rollout: RolloutState,
-    /// Whether the fleet lost its power, and which front nodes are admitted.
+    /// The stage of the recovery from a power loss, and the front nodes that are admitted.
     pub recovery: RecoveryState,
-    /// The index of the last entry applied.
+    /// The log index of the last applied entry.
     applied_index: u64,
 }
 
 impl StateMachine {
-    /// The index of the last entry applied.
+    /// Returns the log index of the last applied entry.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// The token of the release lease, which entries of drains and releases are compared with.
+    /// Returns the fencing token of the release lease. A coordinator's command on releases, ramps or recovery
+    /// is refused or ignored if it carries another token.
     pub fn release_token(&self) -> Option<Token> {
         self.leases.lease(&release_task()).map(|lease| lease.token)
     }
 
-    /// Applies the entry at log `index`, above every index applied before.
+    /// Applies the entry at log index `index`, which must be higher than that of every entry applied before.
     pub fn apply(&mut self, index: u64, entry: &LogEntry) -> EntryOutcome {
         self.applied_index = index;
         match entry {
@@ -71,7 +73,7 @@
     }
 }
 
-/// The task whose lease gives the right to conduct releases.
+/// Returns the task whose lease holder coordinates releases; its lease is called the release lease.
 pub fn release_task() -> Task {
     Task(RELEASE_TASK.to_owned())
 }
--- a/crates/member/src/status.rs
+++ b/crates/member/src/status.rs
@@ -1,20 +1,24 @@
-//! The status report of a member: what `fleet status`, `fleet explain` and `fleet recover` show.
+//! The status report of a member, which `fleet status`, `fleet explain` and `fleet recover` print.
 //!
-//! The types cross the wire as postcard (field order and types are the format) and are written as JSON by
-//! `--json`; a serde name keeps the JSON key where the field's name is another.
+//! These types are sent with postcard, whose format is given by the order and types of the fields, and
+//! printed as JSON by `--json`, whose keys are given by the field names. A field that was renamed has a serde
+//! attribute that keeps its JSON key.
+//!
+//! A front node or index server is *unavailable*, which the program prints as "away", if it counts against
+//! the budget of units that may be unavailable at the same time.
 
 use serde::{Deserialize, Serialize};
 
-/// A member's report of itself and of the fleet as it has applied it.
+/// A member's report of its own state and of the replicated state that it has applied.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Status {
-    /// This member.
+    /// The id of this member.
     pub id: u64,
-    /// Its Raft role: leader, follower or candidate.
+    /// The Raft role of this member: `leader`, `follower` or `candidate`.
     pub role: String,
-    /// The leader it knows, 0 if none.
+    /// The id of the leader that this member knows, or 0 if it knows none.
     pub leader: u64,
-    /// The Raft term.
+    /// The current Raft term of this member.
     pub term: u64,
     /// The highest log index known to be committed.
     #[serde(rename = "commit")]
@@ -22,30 +26,31 @@
     /// The highest log index applied to the state machine.
     #[serde(rename = "applied")]
     pub applied_index: u64,
-    /// The count of this member's starts, kept on disk.
+    /// The incarnation of this member: the count of its starts, kept on its disk.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// The ids of the fleet's members.
+    /// The ids of the members of the fleet.
     pub members: Vec<u64>,
-    /// Every lease in the replicated table.
+    /// All leases of the replicated state.
     pub leases: Vec<LeaseView>,
-    /// This member's own side of each task it wants or holds.
+    /// The tasks whose leases this member wants, holds, or has wanted since its start.
     #[serde(rename = "mine")]
     pub own_tasks: Vec<OwnTaskView>,
-    /// Drains and releases, where a plan is agreed.
+    /// The state of drains and releases; `None` if no plan is in force yet.
     pub rollout: Option<RolloutView>,
-    /// The fleet's recovery from a power loss, where this member takes part in releases.
+    /// The state of the fleet's recovery from a power loss; `None` if this member's configuration file has no
+    /// `rollout` section.
     pub recovery: Option<RecoveryView>,
 }
 
-/// The fleet's recovery from a power loss as this member has applied it.
+/// The state of the fleet's recovery from a power loss.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct RecoveryView {
-    /// Power losses the fleet has recovered from.
+    /// The number of power losses of the fleet, including one from which it is still recovering.
     pub epoch: u64,
-    /// The stage, in words: counting, lists, waves or normal.
+    /// The stage, in words.
     pub stage: String,
-    /// Members that have reported since the last election.
+    /// The reports of the members that have reported since the last election.
     #[serde(rename = "present")]
     pub reports: Vec<PresenceView>,
     /// The number of members of the fleet.
@@ -56,15 +61,16 @@
     pub admission: String,
 }
 
-/// What one member has reported of its front node since the last election; a JSON array of three.
+/// The state of a front node that its member has reported since the last election. In JSON, an array of the
+/// three fields.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(u64, bool, bool)", into = "(u64, bool, bool)")]
 pub struct PresenceView {
-    /// The member.
+    /// The id of the member.
     pub member: u64,
-    /// Whether its front node serves.
+    /// Whether the front node of the member serves.
     pub serving: bool,
-    /// Whether it has discovery's endpoint list.
+    /// Whether discovery's endpoint list has been received there.
     pub has_endpoint_list: bool,
 }
 
@@ -80,38 +86,40 @@
     }
 }
 
-/// Drains and releases as this member has applied them.
+/// The state of drains and releases.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct RolloutView {
-    /// The plan's revision.
+    /// The revision of the plan.
     pub revision: u64,
-    /// Front nodes that may be away at once.
+    /// The number of front nodes that may be unavailable at the same time.
     pub node_limit: u32,
-    /// Index servers that may be away at once.
+    /// The number of index servers that may be unavailable at the same time.
     pub server_limit: u32,
-    /// The version that every front node passed last; empty before the first release is done.
+    /// The version on which the last completed or rolled back release ended; empty before the first release
+    /// has ended.
     #[serde(rename = "good")]
     pub last_good_version: String,
-    /// The halt in force.
+    /// The halt in force, if any.
     #[serde(rename = "halted")]
     pub halt: Option<HaltView>,
-    /// The running or last release.
+    /// The running release, or the last one.
     pub release: Option<ReleaseView>,
-    /// Each front node.
+    /// All front nodes.
     pub nodes: Vec<NodeView>,
-    /// Index servers that are not up and serving.
+    /// The unavailable index servers: those that are down, drained or returning from a drain.
     pub servers: Vec<ServerView>,
-    /// What this member's agent is doing, in words.
+    /// The activity of this member's agent, in words; `None` if the member has no front node.
     pub agent: Option<String>,
 }
 
-/// A halt; a JSON array of two.
+/// A halt. In JSON, an array of the two fields.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct HaltView {
-    /// The id of the command that halted.
+    /// The id of the command that began the halt, or `failures` if the fleet halted itself after failed
+    /// steps.
     pub id: String,
-    /// The reason it gave.
+    /// The reason for the halt.
     pub reason: String,
 }
 
@@ -130,54 +138,55 @@
 /// A release.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ReleaseView {
-    /// Its id.
+    /// The id of the release.
     pub id: String,
-    /// The version it replaces.
+    /// The version that the release replaces.
     pub from: String,
-    /// The version it brings.
+    /// The version to which the release updates the front nodes.
     pub to: String,
-    /// The direction: `forward` or `back`.
+    /// The direction: `forward`, or `back` during a rollback.
     #[serde(rename = "way")]
     pub direction: String,
     /// The stage: `running`, `done` or `rolled back`.
     pub stage: String,
-    /// Front nodes that passed.
+    /// The number of front nodes whose step has passed.
     pub passed: u32,
-    /// Steps that failed since it began, was resumed or was rolled back.
+    /// The number of steps that have failed since the release began, was resumed or was rolled back.
     pub failures: u32,
 }
 
-/// One front node.
+/// A front node.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct NodeView {
-    /// The id of its member.
+    /// The id of the member that runs the front node.
     pub id: u64,
-    /// The version it reported.
+    /// The version that the member has reported.
     pub version: String,
-    /// Whether it reported that it serves.
+    /// Whether the front node serves, as the member has reported it.
     pub ready: bool,
-    /// Whether its member's heartbeats are missing.
+    /// Whether the member is unreachable: the leader has received no message from it for too long.
     #[serde(rename = "lost")]
     pub unreachable: bool,
-    /// Whether it counts as away.
+    /// Whether the front node counts against the budget of unavailable front nodes.
     #[serde(rename = "away")]
     pub unavailable: bool,
-    /// Its slot in the release.
+    /// The slot that the front node holds for its step, if any.
     pub slot: Option<SlotView>,
-    /// Its step in the release, in words.
+    /// The state of the front node's step in the release, in words.
     pub step: String,
-    /// Why its step may not begin now, if it has not.
+    /// Why the front node can't be granted a slot now; `None` if it does not wait for one, or could be
+    /// granted one.
     #[serde(rename = "waits")]
     pub blocked_by: Option<String>,
 }
 
-/// A slot: the right of one front node to be away; a JSON array of two.
+/// A slot: the permission for the step of one front node. In JSON, an array of the two fields.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(u64, bool)", into = "(u64, bool)")]
 pub struct SlotView {
-    /// The log index that granted it.
+    /// The log index of the command that granted the slot.
     pub index: u64,
-    /// Whether the agent has begun its step.
+    /// Whether the agent has begun the step.
     pub begun: bool,
 }
 
@@ -193,50 +202,51 @@
     }
 }
 
-/// One index server.
+/// An index server.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ServerView {
-    /// Its name.
+    /// The name of the index server in discovery.
     pub name: String,
-    /// Its zone.
+    /// The zone of the index server.
     pub zone: String,
-    /// Whether discovery lists it as up.
+    /// Whether discovery lists the index server as up.
     pub up: bool,
-    /// Its phase, in words.
+    /// The phase of the index server, in words.
     pub phase: String,
-    /// The number of front nodes that have been notified of its drain.
+    /// The number of front nodes that have acknowledged the drain: their endpoint lists show it.
     #[serde(rename = "told")]
     pub notified: u32,
 }
 
-/// One lease of the replicated table.
+/// A lease of the replicated state.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct LeaseView {
-    /// The task.
+    /// The name of the task.
     pub task: String,
-    /// The member that holds it.
+    /// The id of the member that holds the lease.
     pub holder: u64,
-    /// Its fencing token.
+    /// The fencing token of the lease.
     pub token: u64,
-    /// The number of renewals since the grant.
+    /// The number of renewals since the lease was granted.
     #[serde(rename = "renewal")]
     pub renewals: u64,
-    /// Milliseconds until the leader may expire it; known to the leader only.
+    /// The time until the leader may expire the lease, in milliseconds. Only the leader reports it.
     #[serde(rename = "left_ms")]
     pub remaining_ms: Option<u64>,
 }
 
-/// One task from this member's side.
+/// This member's own view of a task: whether it wants the lease, and whether it may act under it.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct OwnTaskView {
-    /// The task.
+    /// The name of the task.
     pub task: String,
-    /// Whether this member wants its lease.
+    /// Whether this member wants the lease of the task.
     #[serde(rename = "want")]
     pub wanted: bool,
-    /// The state of its lease holder, in words.
+    /// The state of this member's lease holder, in words.
     pub state: String,
-    /// Milliseconds for which it may still act, if it holds the lease.
+    /// The time for which this member may still act under the lease without a renewal, in milliseconds;
+    /// `None` if it may not act.
     #[serde(rename = "acting_ms")]
     pub may_act_ms: Option<u64>,
 }
--- a/crates/member/src/transport.rs
+++ b/crates/member/src/transport.rs
@@ -1,5 +1,8 @@
-//! The sockets of a member: one listener for peers and for the `fleet` program, and one outbound connection to each
-//! peer and to the task sink, each with a bounded queue. A full queue drops new frames: Raft retransmits what matters.
+//! The sockets of a member: one listener, for peers and for the `fleet` program, and one outbound connection
+//! to each peer and to the task sink.
+//!
+//! Each outbound connection and the listener have bounded queues. A frame for which a queue has no room is
+//! dropped: Raft retransmits the messages that it needs. A request for which there is no room is rejected.
 
 use crate::wire::{self, FramedStream, Hello, Request, Response};
 use futures_util::{SinkExt, StreamExt};
@@ -11,50 +14,50 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::bytes::Bytes;
 
-/// Frames queued for one peer, at most.
+/// The maximum number of frames queued on one outbound connection, to a peer or to the task sink.
 pub const PEER_QUEUE_CAPACITY: usize = 512;
-/// Frames queued from all peers to the member, at most.
+/// The maximum number of frames queued from all peers to the member.
 pub const INBOUND_QUEUE_CAPACITY: usize = 4_096;
-/// Requests of the `fleet` program queued, at most.
+/// The maximum number of queued requests of the `fleet` program.
 pub const REQUEST_QUEUE_CAPACITY: usize = 64;
 
-/// The pause after an accept that failed.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
-/// How long a new connection may take to say who it is.
+/// The delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The timeout for the first frame of an accepted connection, its [`Hello`].
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long connecting to a peer may take.
+/// The timeout for connecting to a peer or the task sink.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long one frame to a peer may take to be written.
+/// The timeout for writing one frame.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The first pause before a connection is attempted again; it doubles after each failure.
+/// The delay after the first failed connection attempt. It doubles after each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest of these pauses.
+/// The maximum delay between two connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A request of the `fleet` program and the channel for its response.
+/// A request of the `fleet` program, with the channel for its response.
 pub struct IncomingRequest {
     /// The request.
     pub request: Request,
-    /// Where its response goes.
+    /// The channel for the response.
     pub response: oneshot::Sender<Response>,
 }
 
-/// The receiving ends of the listener.
+/// The queues of everything that arrives on the listener's connections.
 pub struct Inbound {
-    /// Raft messages of all peers, each one frame.
+    /// Raft messages of all peers, in Raft's protobuf encoding.
     pub messages: mpsc::Receiver<Vec<u8>>,
     /// Requests of the `fleet` program.
     pub requests: mpsc::Receiver<IncomingRequest>,
 }
 
-/// The sending ends that each accepted connection gets a copy of.
+/// The sending ends of the queues of [`Inbound`], cloned for each accepted connection.
 #[derive(Clone)]
 struct InboundSenders {
     messages: mpsc::Sender<Vec<u8>>,
     requests: mpsc::Sender<IncomingRequest>,
 }
 
-/// Starts the task that accepts connections on `listener`.
+/// Starts the task that accepts connections on `listener`, and returns the queues of what they receive.
 pub fn start_accepting(listener: TcpListener, log: Logger) -> Inbound {
     let (message_sender, messages) = mpsc::channel(INBOUND_QUEUE_CAPACITY);
     let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
@@ -63,7 +66,8 @@
     Inbound { messages, requests }
 }
 
-/// Starts the task that keeps a connection to `addr` and writes `hello` and then the frames of the returned queue.
+/// Starts the task that keeps a connection to `addr` open, and returns its queue. The task writes `hello`
+/// first on each new connection, then the frames from the queue.
 pub fn start_sending(addr: SocketAddr, hello: &Hello, log: Logger) -> mpsc::Sender<Vec<u8>> {
     let (sender, queue) = mpsc::channel(PEER_QUEUE_CAPACITY);
     tokio::task::spawn_local(send_to(addr, Bytes::from(wire::encode(hello)), queue, log));
@@ -78,13 +82,13 @@
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
-                sleep(ACCEPT_RETRY).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one inbound connection: a peer's messages until it ends, or one request and its response.
+/// Serves one accepted connection: receives a peer's messages until it closes, or responds to one request.
 async fn serve(stream: TcpStream, senders: InboundSenders, log: Logger) {
     let mut framed = wire::framed(stream);
     let hello = match timeout(HELLO_TIMEOUT, framed.next()).await {
@@ -98,6 +102,7 @@
     }
 }
 
+/// Queues the Raft messages that arrive from a peer until the connection ends.
 async fn receive_messages(
     framed: &mut FramedStream,
     peer: u64,
@@ -118,19 +123,20 @@
     info!(log, "peer connection ended"; "peer" => peer, "frames" => frames, "reason" => reason);
 }
 
+/// Passes a request to the main loop and sends the response.
 async fn respond(framed: &mut FramedStream, request: Request, requests: &mpsc::Sender<IncomingRequest>) {
     let (sender, receiver) = oneshot::channel();
     let incoming = IncomingRequest { request, response: sender };
     let response = if requests.try_send(incoming).is_err() {
-        Response::Rejected("the member is busy; ask again".into())
+        Response::Rejected("the member is busy; retry later".into())
     } else {
-        receiver.await.unwrap_or(Response::Rejected("the member stopped".into()))
+        receiver.await.unwrap_or(Response::Rejected("the member dropped the request".into()))
     };
     let _ = framed.send(Bytes::from(wire::encode(&response))).await;
 }
 
-/// Keeps one outbound connection, reconnecting with backoff; frames queued while it is down are kept up to the
-/// queue's bound.
+/// Keeps one outbound connection open, and reconnects with exponential backoff. While there is no connection,
+/// frames stay in the queue, up to its capacity. Returns once the sending end of the queue is dropped.
 async fn send_to(addr: SocketAddr, hello: Bytes, mut queue: mpsc::Receiver<Vec<u8>>, log: Logger) {
     let mut backoff = MIN_BACKOFF;
     loop {
