--- a/crates/member/tests/snapshot.rs
+++ b/crates/member/tests/snapshot.rs
@@ -1,10 +1,10 @@
-//! The lease table survives the encoding of a snapshot.
+//! Tests that a lease table is unchanged after it is encoded for a snapshot and decoded.
 
 use pinetrestle_fleet::{Command, LeaseTable, MemberId, RequestId, Task};
 use pinetrestle_member::wire;
 
 #[test]
-fn lease_table_decodes_to_what_was_encoded() {
+fn encoded_lease_table_decodes_to_the_same_table() {
     let mut table = LeaseTable::new();
     for i in 0..64u64 {
         let acquire = Command::Acquire {
--- a/crates/member/tests/status_report.rs
+++ b/crates/member/tests/status_report.rs
@@ -1,4 +1,4 @@
-//! What `fleet status`, `fleet explain` and `fleet recover` print, against recorded text.
+//! Compares the output of `fleet status`, `fleet explain` and `fleet recover` with recorded texts.
 
 use pinetrestle_member::status::{
     HaltView, LeaseView, NodeView, OwnTaskView, PresenceView, RecoveryView, ReleaseView, RolloutView,
@@ -121,7 +121,8 @@
     }
 }
 
-/// A member that knows no leader and takes part in leases only.
+/// Returns the status of a member that knows no leader and has no `rollout` section in its configuration
+/// file.
 fn leaderless_status() -> Status {
     Status {
         role: "candidate".into(),
@@ -134,7 +135,7 @@
     }
 }
 
-/// A fleet in which nothing goes on.
+/// Returns the status of a member of a fleet without a running release, a halt, a drain or a recovery.
 fn quiet_status() -> Status {
     let rollout = RolloutView {
         last_good_version: String::new(),
@@ -148,25 +149,25 @@
     Status { rollout: Some(rollout), recovery: Some(recovery), ..leaderless_status() }
 }
 
-/// A release that is rolled back.
+/// Returns the status of a member while a release is being rolled back.
 fn rolling_back_status() -> Status {
     let rollout = RolloutView { release: Some(release("back", "running")), ..rollout() };
     Status { rollout: Some(rollout), ..leaderless_status() }
 }
 
 #[test]
-fn the_table_shows_every_part_of_a_status() {
+fn table_shows_every_section_of_a_status() {
     assert_eq!(StatusTable(&status()).to_string(), include_str!("data/status_report/busy_table.txt"));
 }
 
 #[test]
-fn the_table_leaves_out_what_a_member_takes_no_part_in() {
+fn table_omits_the_sections_that_a_status_does_not_have() {
     let table = StatusTable(&leaderless_status()).to_string();
     assert_eq!(table, include_str!("data/status_report/leaderless_table.txt"));
 }
 
 #[test]
-fn the_table_shows_a_release_that_is_over() {
+fn table_shows_a_rolled_back_release_and_a_rollback_in_progress() {
     let table = StatusTable(&quiet_status()).to_string();
     assert_eq!(table, include_str!("data/status_report/quiet_table.txt"));
     let table = StatusTable(&rolling_back_status()).to_string();
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn the_explanation_names_a_reason_for_everything_that_waits_or_is_away() {
+fn explanation_gives_a_reason_for_each_waiting_or_unavailable_unit() {
     let explanation = Explanation(&status()).to_string();
     assert_eq!(explanation, include_str!("data/status_report/busy_explanation.txt"));
     let explanation = Explanation(&rolling_back_status()).to_string();
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn the_explanation_of_a_quiet_member_is_short() {
+fn explanation_omits_sections_in_which_nothing_happens() {
     let explanation = Explanation(&leaderless_status()).to_string();
     assert_eq!(explanation, include_str!("data/status_report/leaderless_explanation.txt"));
     let explanation = Explanation(&quiet_status()).to_string();
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn the_recovery_report_names_members_that_have_not_reported() {
+fn recovery_report_names_the_members_that_have_not_reported() {
     let report = RecoveryReport { status: &status(), recovery: &recovery() }.to_string();
     assert_eq!(report, include_str!("data/status_report/recovery.txt"));
 }
--- a/crates/member/tests/stored_data/entries.rs
+++ b/crates/member/tests/stored_data/entries.rs
@@ -1,5 +1,5 @@
-//! The history that the recorded stores hold: every command of leases, of drains and releases, and of a recovery, with
-//! what each decided.
+//! The log entries in the recorded stores: all commands on leases, drains and releases, and recovery, each
+//! with its expected outcome.
 
 use pinetrestle_fleet::{Command as Lease, MemberId, Outcome as LeaseOutcome, Refusal as LeaseRefusal};
 use pinetrestle_fleet::{RequestId, Task, Token};
@@ -9,25 +9,25 @@
     Budget, BudgetExceeded, Command as Rollout, HealthCounters, NodePlan, Outcome, Plan, Refusal,
 };
 
-/// One entry of the log and what applying it decided.
-pub struct Applied {
+/// A log entry and the outcome of applying it.
+pub struct AppliedEntry {
     pub entry: LogEntry,
-    pub decided: EntryOutcome,
+    pub outcome: EntryOutcome,
 }
 
-/// Log index at which the first election is counted.
-pub const ELECTED: u64 = 94;
-/// Log index at which a majority has reported and none serves.
-pub const COUNTED: u64 = 98;
-/// Log index at which the first wave opens.
-pub const WAVES: u64 = 102;
-/// Log index at which the first recovery has ended.
-pub const NORMAL: u64 = 106;
+/// Log index of the command that records the first election.
+pub const FIRST_ELECTION_INDEX: u64 = 94;
+/// Log index at which a majority of members has reported, and none of them has a front node that serves.
+pub const MEMBERS_COUNTED_INDEX: u64 = 98;
+/// Log index of the command that opens the first wave.
+pub const FIRST_WAVE_INDEX: u64 = 102;
+/// Log index of the command that ends the first recovery.
+pub const FIRST_RECOVERY_END_INDEX: u64 = 106;
 
 /// The token of the release lease, granted at log index 14.
 const RELEASE_TOKEN: Token = Token(14);
 
-/// The plan with a revision.
+/// Returns the plan with the given revision.
 pub fn plan(revision: u64) -> Plan {
     let zone = |name: Option<&str>| NodePlan { zone: name.map(str::to_owned) };
     Plan {
@@ -60,8 +60,9 @@
     }
 }
 
-/// The history, from log index 1 on. `None`: the empty entry that a new leader begins its term with.
-pub fn history() -> Vec<Option<Applied>> {
+/// Returns the entries from log index 1 on. `None` stands for the empty entry with which a new leader begins
+/// its term.
+pub fn history() -> Vec<Option<AppliedEntry>> {
     let mut history = vec![None];
     history.extend(leases().into_iter().map(Some));
     history.extend(drains().into_iter().map(Some));
@@ -71,8 +72,8 @@
     history
 }
 
-fn lease(command: Lease, outcome: LeaseOutcome) -> Applied {
-    Applied { entry: LogEntry::Lease(command), decided: EntryOutcome::Lease(outcome) }
+fn lease_entry(command: Lease, outcome: LeaseOutcome) -> AppliedEntry {
+    AppliedEntry { entry: LogEntry::Lease(command), outcome: EntryOutcome::Lease(outcome) }
 }
 
 fn acquire(task: &str, member: u64, request: u64, ttl_ms: u64, held_token: Option<u64>) -> Lease {
@@ -98,112 +99,114 @@
     Lease::Expire { task: Task(task.to_owned()), token: Token(token), renewals }
 }
 
-/// Log indexes 2 to 15.
-fn leases() -> Vec<Applied> {
+/// Log indexes 2 to 15: leases that are granted, renewed, released and expired, and requests that are
+/// refused.
+fn leases() -> Vec<AppliedEntry> {
     let busy = LeaseOutcome::Busy { holder: MemberId(1), token: Token(2) };
     let refused = LeaseOutcome::Refused;
     vec![
-        lease(acquire("rebuild-index", 1, 1, 1_000, None), LeaseOutcome::Granted(Token(2))),
-        lease(acquire("rebuild-index", 2, 1, 1_000, None), busy),
-        lease(acquire("rebuild-index", 1, 2, 2_000, Some(2)), LeaseOutcome::Renewed(Token(2))),
-        lease(expire("rebuild-index", 2, 0), refused(LeaseRefusal::StaleExpiry)),
-        lease(release("rebuild-index", 2, 2, 2), refused(LeaseRefusal::NotHolder)),
-        lease(release("rebuild-index", 1, 3, 2), LeaseOutcome::Released),
-        lease(acquire("rebuild-index", 2, 3, 1_000, None), LeaseOutcome::Granted(Token(8))),
-        lease(expire("rebuild-index", 8, 0), LeaseOutcome::Expired),
-        // A copy of the request at 7 gets the answer again; one from before it is refused.
-        lease(release("rebuild-index", 1, 3, 2), LeaseOutcome::Released),
-        lease(acquire("rebuild-index", 1, 2, 1_000, None), refused(LeaseRefusal::StaleRequest)),
-        lease(acquire("rebuild-index", 3, 1, 5, None), refused(LeaseRefusal::InvalidTtl)),
-        lease(acquire("", 3, 2, 1_000, None), refused(LeaseRefusal::InvalidTaskName)),
-        lease(acquire("release", 1, 1, 3_000, None), LeaseOutcome::Granted(RELEASE_TOKEN)),
-        lease(acquire("compact-shards", 3, 1, 60_000, None), LeaseOutcome::Granted(Token(15))),
+        lease_entry(acquire("rebuild-index", 1, 1, 1_000, None), LeaseOutcome::Granted(Token(2))),
+        lease_entry(acquire("rebuild-index", 2, 1, 1_000, None), busy),
+        lease_entry(acquire("rebuild-index", 1, 2, 2_000, Some(2)), LeaseOutcome::Renewed(Token(2))),
+        lease_entry(expire("rebuild-index", 2, 0), refused(LeaseRefusal::StaleExpiry)),
+        lease_entry(release("rebuild-index", 2, 2, 2), refused(LeaseRefusal::NotHolder)),
+        lease_entry(release("rebuild-index", 1, 3, 2), LeaseOutcome::Released),
+        lease_entry(acquire("rebuild-index", 2, 3, 1_000, None), LeaseOutcome::Granted(Token(8))),
+        lease_entry(expire("rebuild-index", 8, 0), LeaseOutcome::Expired),
+        // A duplicate of the request at index 7 gets the same outcome again; an older request is refused.
+        lease_entry(release("rebuild-index", 1, 3, 2), LeaseOutcome::Released),
+        lease_entry(acquire("rebuild-index", 1, 2, 1_000, None), refused(LeaseRefusal::StaleRequest)),
+        lease_entry(acquire("rebuild-index", 3, 1, 5, None), refused(LeaseRefusal::InvalidTtl)),
+        lease_entry(acquire("", 3, 2, 1_000, None), refused(LeaseRefusal::InvalidTaskName)),
+        lease_entry(acquire("release", 1, 1, 3_000, None), LeaseOutcome::Granted(RELEASE_TOKEN)),
+        lease_entry(acquire("compact-shards", 3, 1, 60_000, None), LeaseOutcome::Granted(Token(15))),
     ]
 }
 
-fn rollout(command: Rollout, outcome: Outcome) -> Applied {
-    Applied { entry: LogEntry::Rollout(command), decided: EntryOutcome::Rollout(outcome) }
+fn rollout_entry(command: Rollout, outcome: Outcome) -> AppliedEntry {
+    AppliedEntry { entry: LogEntry::Rollout(command), outcome: EntryOutcome::Rollout(outcome) }
 }
 
-fn done(command: Rollout) -> Applied {
-    rollout(command, Outcome::Applied)
+fn applied(command: Rollout) -> AppliedEntry {
+    rollout_entry(command, Outcome::Applied)
 }
 
-fn already(command: Rollout) -> Applied {
-    rollout(command, Outcome::Unchanged)
+fn unchanged(command: Rollout) -> AppliedEntry {
+    rollout_entry(command, Outcome::Unchanged)
 }
 
-fn refused(command: Rollout, refusal: Refusal) -> Applied {
-    rollout(command, Outcome::Refused(refusal))
+fn refused(command: Rollout, refusal: Refusal) -> AppliedEntry {
+    rollout_entry(command, Outcome::Refused(refusal))
 }
 
 fn begin_release(id: &str, to: &str) -> Rollout {
     Rollout::Release { id: id.to_owned(), to_version: to.to_owned() }
 }
 
-fn report(node: u64, seq: u64, version: &str, ready: bool) -> Rollout {
+fn report_status(node: u64, seq: u64, version: &str, ready: bool) -> Rollout {
     Rollout::ReportStatus { node: MemberId(node), report_seq: seq, version: version.to_owned(), ready }
 }
 
-fn observed(server: &str, zone: &str, up: bool) -> Rollout {
+fn observe_server(server: &str, zone: &str, up: bool) -> Rollout {
     Rollout::ObserveServer { server: server.to_owned(), zone: zone.to_owned(), up }
 }
 
-fn drain(id: &str, server: &str) -> Rollout {
+fn drain_server(id: &str, server: &str) -> Rollout {
     Rollout::DrainServer { id: id.to_owned(), server: server.to_owned() }
 }
 
-fn told(node: u64, server: &str, change: u64) -> Rollout {
+fn acknowledge_drain(node: u64, server: &str, change: u64) -> Rollout {
     Rollout::AcknowledgeDrain { node: MemberId(node), server: server.to_owned(), change_index: change }
 }
 
-fn ramp(token: Token, server: &str, change: u64) -> Rollout {
+fn advance_ramp(token: Token, server: &str, change: u64) -> Rollout {
     Rollout::AdvanceRamp { token, server: server.to_owned(), change_index: change }
 }
 
-/// Log indexes 16 to 42.
-fn drains() -> Vec<Applied> {
+/// Log indexes 16 to 42: a plan, reports of front nodes and index servers, drains, and the ramp of a server
+/// that returns.
+fn drains() -> Vec<AppliedEntry> {
     let over_zone = BudgetExceeded { unavailable: 1, limit: 1, zone: Some("b".to_owned()) };
     vec![
         refused(begin_release("early", "2.0"), Refusal::NoPlan),
-        done(Rollout::Configure(plan(1))),
-        done(report(1, 1, "1.0", true)),
-        done(report(2, 1, "1.0", true)),
-        done(report(3, 1, "1.0", true)),
-        done(report(4, 1, "1.0", true)),
-        refused(report(1, 1, "1.0", true), Refusal::Stale),
-        refused(report(9, 1, "1.0", true), Refusal::UnknownUnit),
-        done(observed("s1", "a", true)),
-        done(observed("s2", "b", true)),
-        done(observed("s3", "b", false)),
-        refused(drain("d-1", "s2"), Refusal::BudgetExceeded(over_zone)),
-        done(observed("s3", "b", true)),
-        done(drain("d-2", "s1")),
-        already(drain("d-3", "s1")),
-        refused(drain("d-4", "s9"), Refusal::UnknownUnit),
-        done(told(1, "s1", 29)),
-        already(told(1, "s1", 29)),
-        done(told(2, "s1", 29)),
-        done(told(3, "s1", 29)),
-        refused(told(4, "s1", 3), Refusal::Stale),
-        done(told(4, "s1", 29)),
-        done(Rollout::ReturnServer { id: "r-1".to_owned(), server: "s1".to_owned() }),
-        done(ramp(RELEASE_TOKEN, "s1", 38)),
-        done(drain("d-5", "s2")),
-        refused(ramp(RELEASE_TOKEN, "s1", 38), Refusal::Stale),
-        refused(ramp(Token(99), "s1", 39), Refusal::StaleToken),
+        applied(Rollout::Configure(plan(1))),
+        applied(report_status(1, 1, "1.0", true)),
+        applied(report_status(2, 1, "1.0", true)),
+        applied(report_status(3, 1, "1.0", true)),
+        applied(report_status(4, 1, "1.0", true)),
+        refused(report_status(1, 1, "1.0", true), Refusal::Stale),
+        refused(report_status(9, 1, "1.0", true), Refusal::UnknownUnit),
+        applied(observe_server("s1", "a", true)),
+        applied(observe_server("s2", "b", true)),
+        applied(observe_server("s3", "b", false)),
+        refused(drain_server("d-1", "s2"), Refusal::BudgetExceeded(over_zone)),
+        applied(observe_server("s3", "b", true)),
+        applied(drain_server("d-2", "s1")),
+        unchanged(drain_server("d-3", "s1")),
+        refused(drain_server("d-4", "s9"), Refusal::UnknownUnit),
+        applied(acknowledge_drain(1, "s1", 29)),
+        unchanged(acknowledge_drain(1, "s1", 29)),
+        applied(acknowledge_drain(2, "s1", 29)),
+        applied(acknowledge_drain(3, "s1", 29)),
+        refused(acknowledge_drain(4, "s1", 3), Refusal::Stale),
+        applied(acknowledge_drain(4, "s1", 29)),
+        applied(Rollout::ReturnServer { id: "r-1".to_owned(), server: "s1".to_owned() }),
+        applied(advance_ramp(RELEASE_TOKEN, "s1", 38)),
+        applied(drain_server("d-5", "s2")),
+        refused(advance_ramp(RELEASE_TOKEN, "s1", 38), Refusal::Stale),
+        refused(advance_ramp(Token(99), "s1", 39), Refusal::StaleToken),
     ]
 }
 
-fn take(node: u64) -> Rollout {
+fn grant_slot(node: u64) -> Rollout {
     Rollout::GrantSlot { token: RELEASE_TOKEN, node: MemberId(node) }
 }
 
-fn begin(node: u64, slot: u64) -> Rollout {
+fn begin_step(node: u64, slot: u64) -> Rollout {
     Rollout::BeginStep { node: MemberId(node), slot_index: slot }
 }
 
-fn finished(node: u64, slot: u64, answered: u64, failed: u64, defects: u64) -> Rollout {
+fn finish_step(node: u64, slot: u64, answered: u64, failed: u64, defects: u64) -> Rollout {
     Rollout::StepFinished {
         node: MemberId(node),
         slot_index: slot,
@@ -223,117 +226,134 @@
     Rollout::Rollback { id: id.to_owned() }
 }
 
-/// Log indexes 43 to 74: a release that fails twice and is rolled back.
-fn first_release() -> Vec<Applied> {
+/// Log indexes 43 to 74: a release in which steps fail and halt it twice, and which is rolled back.
+fn first_release() -> Vec<AppliedEntry> {
     let running = Refusal::ReleaseInProgress { id: "rel-2".to_owned() };
     let broken =
         Rollout::StepFailed { node: MemberId(2), slot_index: 58, reason: "does not start".to_owned() };
     let overdue = Rollout::StepOverdue { token: RELEASE_TOKEN, node: MemberId(1), slot_index: 46 };
     vec![
         refused(rollback("back-0"), Refusal::NoRelease),
-        done(begin_release("rel-2", "2.0")),
+        applied(begin_release("rel-2", "2.0")),
         refused(begin_release("rel-3", "3.0"), running),
-        done(take(1)),
-        refused(take(2), Refusal::AwaitingCanaries),
-        done(overdue),
-        done(take(1)),
-        done(begin(1, 49)),
-        already(begin(1, 49)),
-        done(finished(1, 49, 1_000, 1, 0)),
-        done(report(1, 2, "2.0", true)),
-        done(Rollout::DeclareUnreachable { node: MemberId(4), report_seq: 1 }),
-        refused(take(4), Refusal::Unreachable),
-        refused(take(2), Refusal::BudgetExceeded(BudgetExceeded { unavailable: 1, limit: 1, zone: None })),
-        done(report(4, 2, "1.0", true)),
-        done(take(2)),
-        done(begin(2, 58)),
-        done(broken),
-        refused(take(3), Refusal::Halted),
-        done(resume("go-1")),
-        already(resume("go-2")),
-        done(take(3)),
-        done(begin(3, 64)),
-        done(finished(3, 64, 10, 5, 0)),
-        already(halt("halt-1", "operators look")),
-        done(rollback("back-1")),
-        done(take(1)),
-        done(begin(1, 69)),
-        done(finished(1, 69, 100, 0, 0)),
-        done(take(3)),
-        done(begin(3, 72)),
-        done(finished(3, 72, 0, 0, 0)),
+        applied(grant_slot(1)),
+        refused(grant_slot(2), Refusal::AwaitingCanaries),
+        applied(overdue),
+        applied(grant_slot(1)),
+        applied(begin_step(1, 49)),
+        unchanged(begin_step(1, 49)),
+        applied(finish_step(1, 49, 1_000, 1, 0)),
+        applied(report_status(1, 2, "2.0", true)),
+        applied(Rollout::DeclareUnreachable { node: MemberId(4), report_seq: 1 }),
+        refused(grant_slot(4), Refusal::Unreachable),
+        refused(
+            grant_slot(2),
+            Refusal::BudgetExceeded(BudgetExceeded { unavailable: 1, limit: 1, zone: None }),
+        ),
+        applied(report_status(4, 2, "1.0", true)),
+        applied(grant_slot(2)),
+        applied(begin_step(2, 58)),
+        applied(broken),
+        refused(grant_slot(3), Refusal::Halted),
+        applied(resume("go-1")),
+        unchanged(resume("go-2")),
+        applied(grant_slot(3)),
+        applied(begin_step(3, 64)),
+        applied(finish_step(3, 64, 10, 5, 0)),
+        unchanged(halt("halt-1", "operators look")),
+        applied(rollback("back-1")),
+        applied(grant_slot(1)),
+        applied(begin_step(1, 69)),
+        applied(finish_step(1, 69, 100, 0, 0)),
+        applied(grant_slot(3)),
+        applied(begin_step(3, 72)),
+        applied(finish_step(3, 72, 0, 0, 0)),
     ]
 }
 
-/// Log indexes 75 to 93: a release that fails once, is resumed and ends; a halt after it.
-fn second_release() -> Vec<Applied> {
+/// Log indexes 75 to 93: a release that is halted by a failed step, resumed and completed; then a halt by an
+/// operator and a new plan.
+fn second_release() -> Vec<AppliedEntry> {
     vec![
-        done(begin_release("rel-4", "2.1")),
+        applied(begin_release("rel-4", "2.1")),
         refused(begin_release("rel-5", ""), Refusal::InvalidName),
-        done(take(1)),
-        refused(take(1), Refusal::NotEligible),
-        done(begin(1, 77)),
-        done(finished(1, 77, 100, 1, 0)),
-        done(take(2)),
-        done(begin(2, 81)),
-        done(finished(2, 81, 100, 0, 1)),
-        done(resume("go-3")),
-        done(take(2)),
-        done(finished(2, 85, 100, 0, 0)),
-        done(take(3)),
-        done(finished(3, 87, 100, 0, 0)),
-        done(take(4)),
-        done(finished(4, 89, 100, 0, 0)),
-        done(halt("halt-2", "maintenance")),
-        refused(drain("d-6", "s3"), Refusal::Halted),
-        done(Rollout::Configure(plan(2))),
+        applied(grant_slot(1)),
+        refused(grant_slot(1), Refusal::NotEligible),
+        applied(begin_step(1, 77)),
+        applied(finish_step(1, 77, 100, 1, 0)),
+        applied(grant_slot(2)),
+        applied(begin_step(2, 81)),
+        applied(finish_step(2, 81, 100, 0, 1)),
+        applied(resume("go-3")),
+        applied(grant_slot(2)),
+        applied(finish_step(2, 85, 100, 0, 0)),
+        applied(grant_slot(3)),
+        applied(finish_step(3, 87, 100, 0, 0)),
+        applied(grant_slot(4)),
+        applied(finish_step(4, 89, 100, 0, 0)),
+        applied(halt("halt-2", "maintenance")),
+        refused(drain_server("d-6", "s3"), Refusal::Halted),
+        applied(Rollout::Configure(plan(2))),
     ]
 }
 
-fn recovers(command: Recovery) -> Applied {
-    Applied { entry: LogEntry::Recovery(command), decided: EntryOutcome::Recovery(RecoveryOutcome::Applied) }
+fn applied_recovery(command: Recovery) -> AppliedEntry {
+    AppliedEntry {
+        entry: LogEntry::Recovery(command),
+        outcome: EntryOutcome::Recovery(RecoveryOutcome::Applied),
+    }
 }
 
-fn ignored(command: Recovery) -> Applied {
-    Applied { entry: LogEntry::Recovery(command), decided: EntryOutcome::Recovery(RecoveryOutcome::Ignored) }
+fn ignored_recovery(command: Recovery) -> AppliedEntry {
+    AppliedEntry {
+        entry: LogEntry::Recovery(command),
+        outcome: EntryOutcome::Recovery(RecoveryOutcome::Ignored),
+    }
 }
 
-fn elected(term: u64) -> Recovery {
+fn leader_elected(term: u64) -> Recovery {
     Recovery::LeaderElected { term, members: (1..=4).map(MemberId).collect() }
 }
 
-fn present(node: u64, incarnation: u64, term: u64, serving: bool, has_endpoint_list: bool) -> Recovery {
+fn report_presence(
+    node: u64,
+    incarnation: u64,
+    term: u64,
+    serving: bool,
+    has_endpoint_list: bool,
+) -> Recovery {
     Recovery::ReportPresence { node: MemberId(node), incarnation, term, serving, has_endpoint_list }
 }
 
-fn advance(epoch: u64, from_stage: RecoveryStage) -> Recovery {
+fn advance_stage(epoch: u64, from_stage: RecoveryStage) -> Recovery {
     Recovery::AdvanceStage { token: RELEASE_TOKEN, epoch, from_stage }
 }
 
-/// Log indexes 94 to 115: one recovery to its end, a second one that stands in its waves; a renewed lease between.
-fn recovery() -> Vec<Applied> {
+/// Log indexes 94 to 115: a complete recovery, and a second one up to its second wave, during which a lease
+/// is renewed.
+fn recovery() -> Vec<AppliedEntry> {
     vec![
-        recovers(elected(2)),
-        ignored(elected(1)),
-        recovers(present(1, 3, 2, false, false)),
-        recovers(present(2, 7, 2, false, true)),
-        recovers(present(3, 5, 2, false, false)),
-        ignored(advance(1, RecoveryStage::AwaitingEndpointLists)),
-        recovers(present(1, 3, 2, false, true)),
-        recovers(present(3, 5, 2, false, true)),
-        recovers(advance(1, RecoveryStage::AwaitingEndpointLists)),
-        recovers(present(1, 3, 2, true, true)),
-        recovers(advance(1, RecoveryStage::Waves(1))),
-        ignored(advance(1, RecoveryStage::Waves(1))),
-        recovers(advance(1, RecoveryStage::Waves(2))),
-        recovers(elected(3)),
-        recovers(present(1, 4, 3, false, true)),
-        recovers(present(4, 2, 3, false, true)),
-        recovers(present(2, 8, 3, false, true)),
-        ignored(present(3, 5, 2, false, true)),
-        recovers(advance(2, RecoveryStage::AwaitingEndpointLists)),
-        lease(acquire("release", 1, 2, 3_000, Some(14)), LeaseOutcome::Renewed(RELEASE_TOKEN)),
-        recovers(present(1, 4, 3, true, true)),
-        recovers(advance(2, RecoveryStage::Waves(1))),
+        applied_recovery(leader_elected(2)),
+        ignored_recovery(leader_elected(1)),
+        applied_recovery(report_presence(1, 3, 2, false, false)),
+        applied_recovery(report_presence(2, 7, 2, false, true)),
+        applied_recovery(report_presence(3, 5, 2, false, false)),
+        ignored_recovery(advance_stage(1, RecoveryStage::AwaitingEndpointLists)),
+        applied_recovery(report_presence(1, 3, 2, false, true)),
+        applied_recovery(report_presence(3, 5, 2, false, true)),
+        applied_recovery(advance_stage(1, RecoveryStage::AwaitingEndpointLists)),
+        applied_recovery(report_presence(1, 3, 2, true, true)),
+        applied_recovery(advance_stage(1, RecoveryStage::Waves(1))),
+        ignored_recovery(advance_stage(1, RecoveryStage::Waves(1))),
+        applied_recovery(advance_stage(1, RecoveryStage::Waves(2))),
+        applied_recovery(leader_elected(3)),
+        applied_recovery(report_presence(1, 4, 3, false, true)),
+        applied_recovery(report_presence(4, 2, 3, false, true)),
+        applied_recovery(report_presence(2, 8, 3, false, true)),
+        ignored_recovery(report_presence(3, 5, 2, false, true)),
+        applied_recovery(advance_stage(2, RecoveryStage::AwaitingEndpointLists)),
+        lease_entry(acquire("release", 1, 2, 3_000, Some(14)), LeaseOutcome::Renewed(RELEASE_TOKEN)),
+        applied_recovery(report_presence(1, 4, 3, true, true)),
+        applied_recovery(advance_stage(2, RecoveryStage::Waves(1))),
     ]
 }
--- a/crates/member/tests/stored_data/main.rs
+++ b/crates/member/tests/stored_data/main.rs
@@ -1,16 +1,17 @@
-//! What an earlier version of a member wrote on its disk stays readable, means the same, and is still written in the
-//! same bytes: the Raft log with every command, the hard state, the snapshot with the whole replicated state.
+//! Tests that the stored format of a member is unchanged: files of an earlier version are read to the same
+//! state, and the same state is written to the same bytes. They cover the Raft log with every command, the
+//! hard state, and the snapshot with the complete replicated state.
 //!
-//! The files under `tests/data` were written by [`store::write_log`], [`store::write_compacted`] and
-//! [`store::write_states`] with the code of commit f5093a0, each in an empty folder, and copied here. They are the
-//! form that running fleets have on their disks: a test that fails here needs its code mended, never the files written
-//! anew.
+//! The files in `tests/data` were written by [`store::write_log`], [`store::write_compacted`] and
+//! [`store::write_states`] with the code of commit f5093a0, each in an empty directory, and copied here. They
+//! have the format of the files that deployed fleets have on disk. If a test fails, fix the code; never write
+//! the files again.
 //!
-//! | folder | holds |
+//! | directory | content |
 //! | --- | --- |
-//! | `log` | a store that was never compacted: every entry of [`entries::history`] |
-//! | `compacted` | a store with a snapshot in the middle of a release and the entries after it |
-//! | `states` | the replicated state, as a snapshot has it, after each of [`store::STATES`] |
+//! | `log` | a store that was never compacted, with every entry of [`entries::history`] |
+//! | `compacted` | a store with a snapshot in the middle of a release, and the entries after it |
+//! | `states` | the encoded replicated state after each log index of [`store::RECORDED_STATE_INDEXES`] |
 
 mod entries;
 mod store;
@@ -24,18 +25,21 @@
 use raft::Storage;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
-use store::{copied, entries_after_snapshot, opened_copy, recorded, recorded_states, replay, STATES};
+use store::{
+    copy_to_temp_dir, entries_after_snapshot, open_copy, recorded_dir, recorded_states, replay,
+    RECORDED_STATE_INDEXES,
+};
 
 fn task(name: &str) -> Task {
     Task(name.to_owned())
 }
 
 #[test]
-fn every_entry_of_a_recorded_log_decodes_to_the_command_it_was() {
-    let store = opened_copy("log");
+fn recorded_log_entries_decode_to_the_original_commands() {
+    let store = open_copy("log");
     let found = entries_after_snapshot(&store);
     let expected: Vec<(u64, Option<LogEntry>)> =
-        (1u64..).zip(entries::history()).map(|(index, step)| (index, step.map(|s| s.entry))).collect();
+        (1u64..).zip(entries::history()).map(|(index, applied)| (index, applied.map(|a| a.entry))).collect();
     assert_eq!(found.len(), expected.len());
     for (found, expected) in found.iter().zip(&expected) {
         assert_eq!(found, expected);
@@ -43,46 +47,52 @@
 }
 
 #[test]
-fn the_recorded_entries_still_decide_what_they_decided() {
+fn applying_the_recorded_entries_gives_the_original_outcomes() {
     let mut machine = StateMachine::default();
-    for (index, step) in (1u64..).zip(entries::history()) {
-        if let Some(step) = step {
-            let decided = machine.apply(index, &step.entry);
-            assert_eq!(decided, step.decided, "entry {index}, {:?}", step.entry);
+    for (index, applied) in (1u64..).zip(entries::history()) {
+        if let Some(applied) = applied {
+            let outcome = machine.apply(index, &applied.entry);
+            assert_eq!(outcome, applied.outcome, "entry {index}, {:?}", applied.entry);
         }
     }
 }
 
 #[test]
-fn a_recorded_log_replays_to_the_state_the_fleet_was_in() {
-    let store = opened_copy("log");
-    assert_eq!(store.incarnation(), 2, "the start that wrote it was its first");
+fn recorded_log_replays_to_the_original_state() {
+    let store = open_copy("log");
+    assert_eq!(store.incarnation(), 2, "the recorded store was written by its first incarnation");
     let raft = store.initial_state().unwrap();
-    assert_eq!((raft.hard_state.term, raft.hard_state.vote, raft.hard_state.commit), (3, 2, store::LAST));
+    assert_eq!(
+        (raft.hard_state.term, raft.hard_state.vote, raft.hard_state.commit),
+        (3, 2, store::LAST_INDEX)
+    );
     assert_eq!(raft.conf_state.voters, [1, 2, 3, 4]);
-    assert_eq!((store.first_index().unwrap(), store.last_index().unwrap()), (1, store::LAST));
+    assert_eq!((store.first_index().unwrap(), store.last_index().unwrap()), (1, store::LAST_INDEX));
     assert_eq!(store.term(1).unwrap(), 1);
-    assert_eq!(store.term(store::LAST).unwrap(), 3);
+    assert_eq!(store.term(store::LAST_INDEX).unwrap(), 3);
     assert_last_state(&replay(&store));
 }
 
 #[test]
-fn a_recorded_snapshot_and_the_entries_after_it_replay_to_the_same_state() {
-    let store = opened_copy("compacted");
+fn recorded_snapshot_and_later_entries_replay_to_the_original_state() {
+    let store = open_copy("compacted");
     assert_eq!(store.incarnation(), 2);
     let raft = store.initial_state().unwrap();
-    assert_eq!((raft.hard_state.term, raft.hard_state.vote, raft.hard_state.commit), (3, 2, store::LAST));
+    assert_eq!(
+        (raft.hard_state.term, raft.hard_state.vote, raft.hard_state.commit),
+        (3, 2, store::LAST_INDEX)
+    );
     assert_eq!(raft.conf_state.voters, [1, 2, 3, 4]);
-    assert_eq!(store.first_index().unwrap(), store::SNAPSHOT_AT + 1);
-    assert_eq!(store.last_index().unwrap(), store::LAST);
-    assert_eq!(store.snapshot_index(), store::SNAPSHOT_AT);
-    assert_eq!(store.term(store::SNAPSHOT_AT).unwrap(), 2);
+    assert_eq!(store.first_index().unwrap(), store::SNAPSHOT_INDEX + 1);
+    assert_eq!(store.last_index().unwrap(), store::LAST_INDEX);
+    assert_eq!(store.snapshot_index(), store::SNAPSHOT_INDEX);
+    assert_eq!(store.term(store::SNAPSHOT_INDEX).unwrap(), 2);
     assert_last_state(&replay(&store));
 }
 
-/// The state after the last entry, in full where the state has accessors.
+/// Checks the state after the last entry, as far as the state's accessors show it.
 fn assert_last_state(machine: &StateMachine) {
-    assert_eq!(machine.applied_index(), store::LAST);
+    assert_eq!(machine.applied_index(), store::LAST_INDEX);
     assert_last_leases(machine);
     assert_last_rollout(machine);
     assert_last_recovery(machine);
@@ -161,56 +171,56 @@
         (MemberId(4), presence(2, false)),
     ];
     assert_eq!(recovery.presences(), &BTreeMap::from(present));
-    // In the order in which they reported: member 4 before member 2.
+    // Waves admit members in the order of their reports: member 4 reported before member 2.
     assert_eq!(recovery.wave_members(2).collect::<Vec<_>>(), [MemberId(1), MemberId(4)]);
     assert!(recovery.is_admitted(MemberId(1), 4) && recovery.is_admitted(MemberId(4), 2));
     assert!(!recovery.is_admitted(MemberId(2), 8) && !recovery.is_admitted(MemberId(4), 1));
 }
 
 #[test]
-fn each_recorded_state_decodes_to_the_state_its_entries_lead_to_and_encodes_to_the_same_bytes() {
+fn recorded_states_equal_the_replayed_states_and_encode_to_the_same_bytes() {
     let states = recorded_states();
-    assert_eq!(states.iter().map(|(index, _)| *index).collect::<Vec<_>>(), STATES);
+    assert_eq!(states.iter().map(|(index, _)| *index).collect::<Vec<_>>(), RECORDED_STATE_INDEXES);
     for (index, bytes) in states {
         let decoded: StateMachine =
-            wire::decode(&bytes).unwrap_or_else(|| panic!("state {index} does not decode"));
-        assert_eq!(wire::encode(&decoded), bytes, "state {index} encoded again");
+            wire::decode(&bytes).unwrap_or_else(|| panic!("failed to decode the state at index {index}"));
+        assert_eq!(wire::encode(&decoded), bytes, "decoded and encoded state at index {index}");
         let replayed = store::state_at(index);
-        assert_eq!(wire::encode(&replayed), bytes, "state {index} replayed and encoded");
+        assert_eq!(wire::encode(&replayed), bytes, "replayed and encoded state at index {index}");
         assert_eq!(decoded.leases, replayed.leases);
         assert_eq!(decoded.rollout, replayed.rollout);
         assert_eq!(decoded.recovery, replayed.recovery);
     }
 }
 
-/// The recorded state after entry `index`.
+/// Decodes the recorded state after the entry at `index`.
 fn recorded_state(index: u64) -> StateMachine {
     let states = recorded_states();
-    let (_, bytes) = states.iter().find(|(at, _)| *at == index).expect("a recorded index");
-    wire::decode(bytes).expect("it decodes")
+    let (_, bytes) = states.iter().find(|(at, _)| *at == index).expect("a state is recorded at this index");
+    wire::decode(bytes).expect("the recorded state decodes")
 }
 
 #[test]
-fn the_recorded_states_hold_each_stage_of_a_release() {
+fn recorded_states_cover_each_stage_of_a_release() {
     let slot = |machine: &StateMachine, id| machine.rollout.node(MemberId(id)).unwrap().slot.clone();
     let step = |machine: &StateMachine, id| machine.rollout.release().unwrap().steps[&MemberId(id)].clone();
 
     let granted = recorded_state(46);
-    let taken = slot(&granted, 1).unwrap();
+    let granted_slot = slot(&granted, 1).unwrap();
     assert_eq!(
-        (taken.index, taken.target_version.as_str(), taken.previous_version.as_str()),
+        (granted_slot.index, granted_slot.target_version.as_str(), granted_slot.previous_version.as_str()),
         (46, "2.0", "1.0")
     );
-    assert!(!taken.begun);
+    assert!(!granted_slot.begun);
     assert_eq!((step(&granted, 1), step(&granted, 2)), (StepState::InProgress, StepState::Waiting));
 
     let begun = recorded_state(50);
     assert!(slot(&begun, 1).unwrap().begun);
     assert_eq!(slot(&begun, 1).unwrap().index, 49);
 
-    let lost = recorded_state(54);
-    assert!(lost.rollout.node(MemberId(4)).unwrap().unreachable);
-    assert_eq!(step(&lost, 1), StepState::Passed);
+    let unreachable = recorded_state(54);
+    assert!(unreachable.rollout.node(MemberId(4)).unwrap().unreachable);
+    assert_eq!(step(&unreachable, 1), StepState::Passed);
 
     let failed = recorded_state(60);
     assert_eq!(step(&failed, 2), StepState::Failed("does not start".to_owned()));
@@ -221,13 +231,13 @@
         "1 failed steps, the last of front node 2: does not start"
     );
 
-    let back = recorded_state(69);
-    let release = back.rollout.release().unwrap();
+    let rolling_back = recorded_state(69);
+    let release = rolling_back.rollout.release().unwrap();
     assert_eq!(
         (release.direction, release.stage, release.target_version()),
         (Direction::Backward, ReleaseStage::Running, "1.0")
     );
-    assert_eq!(back.rollout.halt(), None);
+    assert_eq!(rolling_back.rollout.halt(), None);
 
     let rolled_back = recorded_state(74);
     assert_eq!(rolled_back.rollout.release().unwrap().stage, ReleaseStage::RolledBack);
@@ -235,10 +245,11 @@
 }
 
 #[test]
-fn the_recorded_states_hold_each_phase_of_an_index_server() {
+fn recorded_states_cover_each_phase_of_an_index_server() {
     let server = |index, name: &str| {
         let machine = recorded_state(index);
-        let (_, state) = machine.rollout.servers().find(|(known, _)| *known == name).expect("it is known");
+        let mut servers = machine.rollout.servers();
+        let (_, state) = servers.find(|(known, _)| *known == name).expect("the index server is known");
         state.clone()
     };
     assert!(!server(26, "s3").up);
@@ -253,41 +264,41 @@
 }
 
 #[test]
-fn the_recorded_states_hold_each_stage_of_a_recovery() {
+fn recorded_states_cover_each_stage_of_a_recovery() {
     let stage = |index| (recorded_state(index).recovery.epoch(), recorded_state(index).recovery.stage());
-    assert_eq!(stage(entries::ELECTED), (0, RecoveryStage::CountingMembers));
-    assert_eq!(stage(entries::COUNTED), (1, RecoveryStage::AwaitingEndpointLists));
-    assert_eq!(stage(entries::WAVES), (1, RecoveryStage::Waves(1)));
-    assert_eq!(stage(entries::NORMAL), (1, RecoveryStage::Normal));
-    assert_eq!(stage(store::LAST), (2, RecoveryStage::Waves(2)));
+    assert_eq!(stage(entries::FIRST_ELECTION_INDEX), (0, RecoveryStage::CountingMembers));
+    assert_eq!(stage(entries::MEMBERS_COUNTED_INDEX), (1, RecoveryStage::AwaitingEndpointLists));
+    assert_eq!(stage(entries::FIRST_WAVE_INDEX), (1, RecoveryStage::Waves(1)));
+    assert_eq!(stage(entries::FIRST_RECOVERY_END_INDEX), (1, RecoveryStage::Normal));
+    assert_eq!(stage(store::LAST_INDEX), (2, RecoveryStage::Waves(2)));
 }
 
 #[test]
-fn the_same_entries_give_the_recorded_stores_byte_for_byte() {
+fn writing_the_same_entries_gives_the_recorded_files_byte_for_byte() {
     type Writer = fn(&std::path::Path);
     let writers: [(&str, Writer); 3] =
         [("log", store::write_log), ("compacted", store::write_compacted), ("states", store::write_states)];
     for (folder, write) in writers {
         let dir = tempfile::tempdir().unwrap();
         write(dir.path());
-        for file in fs::read_dir(recorded(folder)).unwrap() {
+        for file in fs::read_dir(recorded_dir(folder)).unwrap() {
             let name = file.unwrap().file_name();
-            let then = fs::read(recorded(folder).join(&name)).unwrap();
-            let now = fs::read(dir.path().join(&name)).unwrap();
-            assert!(now == then, "the form of {folder}/{} has changed", name.display());
+            let expected = fs::read(recorded_dir(folder).join(&name)).unwrap();
+            let written = fs::read(dir.path().join(&name)).unwrap();
+            assert!(written == expected, "the bytes of {folder}/{} have changed", name.display());
         }
         let files = |dir: &std::path::Path| fs::read_dir(dir).unwrap().count();
-        assert_eq!(files(dir.path()), files(&recorded(folder)), "files of {folder}");
+        assert_eq!(files(dir.path()), files(&recorded_dir(folder)), "number of files in {folder}");
     }
 }
 
 #[test]
-fn opening_a_recorded_store_drops_nothing_of_it() {
+fn opening_a_recorded_store_truncates_nothing() {
     for folder in ["log", "compacted"] {
-        let dir = copied(folder);
+        let dir = copy_to_temp_dir(folder);
         let before = fs::read(dir.path().join("log")).unwrap();
         let opened = pinetrestle_store::Log::open(dir.path(), 1).unwrap();
-        assert_eq!(opened.truncated_bytes, 0, "bytes cut from {folder}/log");
+        assert_eq!(opened.truncated_bytes, 0, "bytes truncated from {folder}/log");
         assert_eq!(fs::read(dir.path().join("log")).unwrap(), before);
     }
 }
--- a/crates/member/tests/wire_format.rs
+++ b/crates/member/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Bytes on the wire and JSON keys of the status report stay as the fleet's first release wrote them. The constants
-//! were recorded from the code of that release, before its types were renamed.
+//! Tests that the bytes on the wire and the JSON keys of the status report are those of the fleet's first
+//! release. The constants were recorded with the code of that release, before its types were renamed.
 
 use pinetrestle_member::status::{
     HaltView, LeaseView, NodeView, OwnTaskView, PresenceView, RecoveryView, ReleaseView, RolloutView,
@@ -31,7 +31,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn from_hex(hex: &str) -> Vec<u8> {
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
 }
 
@@ -118,7 +118,9 @@
 #[test]
 fn status_response_keeps_its_bytes() {
     assert_eq!(hex(&encode(&Response::Status(Box::new(status())))), STATUS_RESPONSE);
-    let Some(Response::Status(decoded)) = decode(&bytes(STATUS_RESPONSE)) else { panic!("no status") };
+    let Some(Response::Status(decoded)) = decode(&from_hex(STATUS_RESPONSE)) else {
+        panic!("failed to decode the status response")
+    };
     assert_eq!(*decoded, status());
 }
 
@@ -130,7 +132,7 @@
 }
 
 #[test]
-fn first_frames_and_actions_keep_their_bytes() {
+fn hello_frames_and_actions_keep_their_bytes() {
     let wanted = Request::SetWanted { task: "t".into(), wanted: true };
     let resume = Request::Rollout(pinetrestle_rollout::Command::Resume { id: "g1".into() });
     assert_eq!(hex(&encode(&Hello::Peer(300))), "00ac02");
