--- a/crates/member/src/config/defaults.rs
+++ b/crates/member/src/config/defaults.rs
@@ -1,7 +1,7 @@
 //! What a key of the fleet file is taken to be where the file leaves it out.
 
 /// Share of all units that may be away at once: no bound beyond the count.
-pub(super) fn max_share() -> f64 {
+pub(super) fn max_unavailable_share() -> f64 {
     1.0
 }
 
--- a/crates/member/src/config/file.rs
+++ b/crates/member/src/config/file.rs
@@ -115,13 +115,13 @@
 pub struct BudgetConfig {
     /// Units away at once.
     #[serde(rename = "most")]
-    pub max_away: u32,
+    pub max_unavailable: u32,
     /// Units away at once, as a share of all, 0 to 1; one may always go.
-    #[serde(rename = "share", default = "defaults::max_share")]
-    pub max_share: f64,
+    #[serde(rename = "share", default = "defaults::max_unavailable_share")]
+    pub max_unavailable_share: f64,
     /// Units away at once in one zone; none: no bound by zone.
     #[serde(rename = "zone_most", default)]
-    pub max_away_per_zone: Option<u32>,
+    pub max_unavailable_per_zone: Option<u32>,
 }
 
 /// The return from a power loss.
@@ -242,9 +242,9 @@
 impl BudgetConfig {
     fn budget(&self) -> Budget {
         Budget {
-            max_unavailable: self.max_away,
-            max_unavailable_per_mille: (self.max_share * PER_MILLE) as u32,
-            max_unavailable_per_zone: self.max_away_per_zone,
+            max_unavailable: self.max_unavailable,
+            max_unavailable_per_mille: (self.max_unavailable_share * PER_MILLE) as u32,
+            max_unavailable_per_zone: self.max_unavailable_per_zone,
         }
     }
 }
--- a/crates/member/src/config/validation.rs
+++ b/crates/member/src/config/validation.rs
@@ -180,15 +180,15 @@
 impl BudgetConfig {
     /// `key` is the budget's own key.
     fn validate(&self, key: &str) -> Result<(), ValidationError> {
-        if self.max_away == 0 {
+        if self.max_unavailable == 0 {
             return Err(ValidationError::new(
                 format!("{key}.most"),
                 "is 0: nothing could ever go",
                 "write at least 1",
             ));
         }
-        require_in(&format!("{key}.share"), &self.max_share, &SHARE, "write a share, as 0.2")?;
-        if self.max_away_per_zone == Some(0) {
+        require_in(&format!("{key}.share"), &self.max_unavailable_share, &SHARE, "write a share, as 0.2")?;
+        if self.max_unavailable_per_zone == Some(0) {
             return Err(ValidationError::new(
                 format!("{key}.zone_most"),
                 "is 0",
--- a/crates/member/src/front_node_process/health_poll.rs
+++ b/crates/member/src/front_node_process/health_poll.rs
@@ -1,6 +1,6 @@
 //! One poll of a front node over HTTP: its readiness (`/health/ready`) and its counters (`/stats`).
 
-use crate::http_client::{self, OpenResponse};
+use crate::http_client::{self, StreamingResponse};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, HOST};
@@ -76,7 +76,7 @@
             .header(CONNECTION, "close")
             .body(Empty::<Bytes>::new())
             .ok()?;
-        let OpenResponse { response, connection } = http_client::send_request(address, request).await?;
+        let StreamingResponse { response, connection } = http_client::send_request(address, request).await?;
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
         connection.abort();
--- a/crates/member/src/front_node_process/mod.rs
+++ b/crates/member/src/front_node_process/mod.rs
@@ -23,9 +23,9 @@
 
 /// What one poll of the front node showed.
 #[derive(Debug, Clone, Default)]
-pub struct Observation {
+pub struct FrontNodeObservation {
     /// Its version, whether it is ready, and its counters: what the agent decides by.
-    pub state: FrontNodeStatus,
+    pub status: FrontNodeStatus,
     /// Endpoint lists it has received since its start, by its own counter; the relay measures by it what the front
     /// node has been notified of.
     pub lists_received: u64,
@@ -36,7 +36,7 @@
 }
 
 /// Drives one front node: carries out the agent's actions and polls the process.
-pub struct FrontNodeProcess {
+pub struct FrontNodeDriver {
     config: FrontNodeConfig,
     launcher: Launcher,
     /// The running process, if one is known.
@@ -44,26 +44,33 @@
     /// Polls in a row that were not answered.
     missed_polls: u32,
     /// What the last poll showed.
-    last: Observation,
+    last: FrontNodeObservation,
     log: Logger,
 }
 
-impl FrontNodeProcess {
+impl FrontNodeDriver {
     /// The front node of the member whose data is in `data_dir`; one that runs already is found again.
-    pub fn new(config: FrontNodeConfig, data_dir: &Path, log: Logger) -> FrontNodeProcess {
+    pub fn new(config: FrontNodeConfig, data_dir: &Path, log: Logger) -> FrontNodeDriver {
         let launcher = Launcher::new(data_dir);
         let process = launcher.find_running();
         if let Some(found) = &process {
             info!(log, "front node found"; "pid" => found.pid, "version" => &found.version);
         }
-        FrontNodeProcess { config, launcher, process, missed_polls: 0, last: Observation::default(), log }
+        FrontNodeDriver {
+            config,
+            launcher,
+            process,
+            missed_polls: 0,
+            last: FrontNodeObservation::default(),
+            log,
+        }
     }
 
     /// Carries out actions and publishes observations until the member ends.
     pub async fn run(
         mut self,
         mut actions: mpsc::Receiver<ProcessAction>,
-        observations: watch::Sender<Observation>,
+        observations: watch::Sender<FrontNodeObservation>,
     ) {
         let mut polls = tokio::time::interval(Duration::from_millis(self.config.poll_interval_ms));
         polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -122,27 +129,33 @@
         self.missed_polls = 0;
     }
 
-    async fn observe(&mut self) -> Observation {
+    async fn observe(&mut self) -> FrontNodeObservation {
         self.reap();
         let Some(process) = &self.process else {
-            return Observation { observed: true, ..Observation::default() };
+            return FrontNodeObservation { observed: true, ..FrontNodeObservation::default() };
         };
         let pid = process.pid;
         let running_version = Some(process.version.clone());
         if process.ending {
-            let state = FrontNodeStatus { running_version, ready: false, counters: self.last.state.counters };
-            return Observation { state, lists_received: self.last.lists_received, pid, observed: true };
+            let status =
+                FrontNodeStatus { running_version, ready: false, counters: self.last.status.counters };
+            return FrontNodeObservation {
+                status,
+                lists_received: self.last.lists_received,
+                pid,
+                observed: true,
+            };
         }
         let poll = HealthPoll::of(self.config.listen).await;
         let same_process = self.last.pid == pid;
         let ready = self.judge_readiness(poll.ready, same_process);
         let (counters, lists_received) = match poll.counters {
             Some(polled) => (polled.health, polled.lists_received),
-            None if same_process => (self.last.state.counters, self.last.lists_received),
+            None if same_process => (self.last.status.counters, self.last.lists_received),
             None => Default::default(),
         };
-        Observation {
-            state: FrontNodeStatus { running_version, ready, counters },
+        FrontNodeObservation {
+            status: FrontNodeStatus { running_version, ready, counters },
             lists_received,
             pid,
             observed: true,
@@ -159,7 +172,7 @@
             }
             None => {
                 self.missed_polls += 1;
-                same_process && self.last.state.ready && self.missed_polls < MAX_MISSED_POLLS
+                same_process && self.last.status.ready && self.missed_polls < MAX_MISSED_POLLS
             }
         }
     }
--- a/crates/member/src/http_client.rs
+++ b/crates/member/src/http_client.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinHandle;
 
 /// A response whose body is still to be read.
-pub struct OpenResponse {
+pub struct StreamingResponse {
     /// The response's head, and its body as it arrives.
     pub response: Response<Incoming>,
     /// The task that drives the connection; to be aborted once the body has been read.
@@ -18,10 +18,10 @@
 
 /// Sends a request to `address` and waits for the head of its response; none where the connection or the request
 /// fails. The caller bounds the time.
-pub async fn send_request(address: SocketAddr, request: Request<Empty<Bytes>>) -> Option<OpenResponse> {
+pub async fn send_request(address: SocketAddr, request: Request<Empty<Bytes>>) -> Option<StreamingResponse> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
     let connection = tokio::task::spawn_local(connection);
     let response = sender.send_request(request).await.ok()?;
-    Some(OpenResponse { response, connection })
+    Some(StreamingResponse { response, connection })
 }
--- a/crates/member/src/local_services.rs
+++ b/crates/member/src/local_services.rs
@@ -1,7 +1,7 @@
 //! What runs beside the member in its process: the driver of its front node and the relay of the endpoint list.
 
 use crate::config::FleetConfig;
-use crate::front_node_process::{FrontNodeProcess, Observation};
+use crate::front_node_process::{FrontNodeDriver, FrontNodeObservation};
 use crate::member::{Member, StepOutput};
 use crate::relay;
 use pinetrestle_rollout::ProcessAction;
@@ -14,7 +14,7 @@
     /// Actions for the driver to carry out; it takes one at a time.
     actions: mpsc::Sender<ProcessAction>,
     /// The driver's last observation of the front node.
-    observations: watch::Receiver<Observation>,
+    observations: watch::Receiver<FrontNodeObservation>,
 }
 
 /// The services beside the member; none where its file names no front node.
@@ -35,8 +35,8 @@
         let Some(front) = &file.front_node else { return Ok(LocalServices::default()) };
         std::fs::create_dir_all(&file.data_dir)?;
         let (actions, action_queue) = mpsc::channel(1);
-        let (observation_sender, observations) = watch::channel(Observation::default());
-        let driver = FrontNodeProcess::new(front.clone(), &file.data_dir, log.clone());
+        let (observation_sender, observations) = watch::channel(FrontNodeObservation::default());
+        let driver = FrontNodeDriver::new(front.clone(), &file.data_dir, log.clone());
         let relay = match &front.relay {
             Some(relay) => Some(relay::start(relay, observations.clone(), log.clone()).await?),
             None => None,
--- a/crates/member/src/relay/discovery_watch.rs
+++ b/crates/member/src/relay/discovery_watch.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint_list::{apply_watch_event, discovered_server};
 use super::{DiscoveredServers, UpstreamList, LIST_PATH};
-use crate::http_client::{self, OpenResponse};
+use crate::http_client::{self, StreamingResponse};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::HOST;
@@ -82,7 +82,7 @@
     let mut list = BTreeMap::new();
     loop {
         let end = match open_watch(discovery).await {
-            Some(OpenResponse { response, connection }) => {
+            Some(StreamingResponse { response, connection }) => {
                 let end = read_watch(response.into_body(), &mut list, &publisher).await;
                 connection.abort();
                 end
@@ -95,7 +95,7 @@
     }
 }
 
-async fn open_watch(discovery: SocketAddr) -> Option<OpenResponse> {
+async fn open_watch(discovery: SocketAddr) -> Option<StreamingResponse> {
     let exchange = async {
         let request = Request::get(format!("{LIST_PATH}?watch=1&after=0"))
             .header(HOST, "discovery")
--- a/crates/member/src/relay/front_node_watch.rs
+++ b/crates/member/src/relay/front_node_watch.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint_list::snapshot_line;
 use super::{send_if_changed, DrainView, Relay, UpstreamList, HEARTBEAT};
-use crate::front_node_process::Observation;
+use crate::front_node_process::FrontNodeObservation;
 use hyper::body::Bytes;
 use serde_json::Value;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     /// This watch's own receivers of what the relay knows: each marks for itself what it has seen.
     upstream: watch::Receiver<UpstreamList>,
     drain_view: watch::Receiver<DrainView>,
-    observations: watch::Receiver<Observation>,
+    observations: watch::Receiver<FrontNodeObservation>,
     /// The list that was sent last.
     last_sent: Option<Vec<Value>>,
     /// The index of the last list; each list on a watch has the next one.
--- a/crates/member/src/relay/mod.rs
+++ b/crates/member/src/relay/mod.rs
@@ -13,7 +13,7 @@
 mod server;
 
 use crate::config::RelayConfig;
-use crate::front_node_process::Observation;
+use crate::front_node_process::FrontNodeObservation;
 use discovery_watch::ListPublisher;
 use serde_json::Value;
 use slog::Logger;
@@ -33,7 +33,7 @@
     /// Index servers it is not to send to, by name.
     pub drained_servers: BTreeSet<String>,
     /// The log index of the last change of each index server that was ever drained, by name.
-    pub changes: BTreeMap<String, u64>,
+    pub change_indexes: BTreeMap<String, u64>,
 }
 
 /// What discovery says of one index server.
@@ -54,7 +54,7 @@
     pub drain_view: watch::Sender<DrainView>,
     /// What discovery lists.
     pub discovered: watch::Receiver<DiscoveredServers>,
-    /// The changes the front node has been notified of, in the form of [`DrainView::changes`].
+    /// The changes the front node has been notified of, in the form of [`DrainView::change_indexes`].
     pub notified: watch::Receiver<BTreeMap<String, u64>>,
 }
 
@@ -68,7 +68,7 @@
     /// What the fleet has decided.
     drain_view: watch::Receiver<DrainView>,
     /// What polls of the front node show.
-    observations: watch::Receiver<Observation>,
+    observations: watch::Receiver<FrontNodeObservation>,
     /// The changes the front node has been notified of.
     notified: watch::Sender<BTreeMap<String, u64>>,
     log: Logger,
@@ -78,7 +78,7 @@
 struct DrainedList {
     /// Discovery's list with the fleet's drains applied; none while discovery is silent.
     endpoints: Option<Vec<Value>>,
-    /// In the form of [`DrainView::changes`].
+    /// In the form of [`DrainView::change_indexes`].
     changes: BTreeMap<String, u64>,
 }
 
@@ -88,7 +88,7 @@
         let upstream = self.upstream.borrow();
         let endpoints =
             upstream.as_ref().map(|list| endpoint_list::with_drains(list, &drain_view.drained_servers));
-        DrainedList { endpoints, changes: drain_view.changes.clone() }
+        DrainedList { endpoints, changes: drain_view.change_indexes.clone() }
     }
 }
 
@@ -98,7 +98,7 @@
 /// When the address can't be bound for [`pinetrestle_system_calls::STARTUP_TIMEOUT`].
 pub async fn start(
     config: &RelayConfig,
-    observations: watch::Receiver<Observation>,
+    observations: watch::Receiver<FrontNodeObservation>,
     log: Logger,
 ) -> std::io::Result<RelayHandles> {
     let listener = pinetrestle_system_calls::listen(config.listen).await?;
--- a/crates/member/src/rollout/mod.rs
+++ b/crates/member/src/rollout/mod.rs
@@ -8,7 +8,7 @@
 mod status;
 
 use crate::config::FleetConfig;
-use crate::front_node_process::Observation;
+use crate::front_node_process::FrontNodeObservation;
 use crate::relay::{DiscoveredServers, DrainView};
 use crate::state_machine::{LogEntry, StateMachine};
 use crate::status::{RecoveryView, RolloutView};
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Observations {
     /// The front node.
-    pub front: Observation,
+    pub front: FrontNodeObservation,
     /// The endpoint list of discovery, as the relay has it.
     pub discovered: DiscoveredServers,
     /// The last change of each index server that the front node has been notified of.
@@ -182,7 +182,7 @@
 
     fn tick_agent(&mut self, now: u64, state: &RolloutState) -> AgentOutput {
         let Some(agent) = &mut self.agent else { return AgentOutput::default() };
-        agent.poll(now, &self.observations.front.state, state, self.recovery.start_permission())
+        agent.poll(now, &self.observations.front.status, state, self.recovery.start_permission())
     }
 
     /// Reports drains that the front node has been notified of and the state does not yet count.
@@ -211,7 +211,7 @@
         let changed = state.servers().filter(|(_, server)| server.change_index > 0);
         DrainView {
             drained_servers: closed.map(|(name, _)| name.to_owned()).collect(),
-            changes: changed.map(|(name, server)| (name.to_owned(), server.change_index)).collect(),
+            change_indexes: changed.map(|(name, server)| (name.to_owned(), server.change_index)).collect(),
         }
     }
 
--- a/crates/member/src/rollout/recovery.rs
+++ b/crates/member/src/rollout/recovery.rs
@@ -2,7 +2,7 @@
 
 use super::RaftView;
 use crate::config::{FleetConfig, RecoveryConfig};
-use crate::front_node_process::Observation;
+use crate::front_node_process::FrontNodeObservation;
 use crate::state_machine::StateMachine;
 use pinetrestle_fleet::{MemberId, RetryTimer, Token};
 use pinetrestle_recovery::{
@@ -19,7 +19,7 @@
     /// The plan of the member's file.
     pub(super) plan: Option<&'a Plan>,
     /// The last observation of the front node.
-    pub(super) front: &'a Observation,
+    pub(super) front: &'a FrontNodeObservation,
     /// Whether this member has a front node.
     pub(super) has_front: bool,
     /// Whether the relay has discovery's endpoint list.
@@ -96,7 +96,7 @@
             let halted = state.rollout.halt().is_some();
             commands.extend(self.coordinator.poll(now, token, recovery, halted, self.config.min_wave_ms));
         }
-        let running = inputs.front.state.running_version.is_some();
+        let running = inputs.front.status.running_version.is_some();
         self.admission = self.admission_controller.poll(now, inputs.raft.has_leader, running, recovery);
         commands
     }
@@ -113,7 +113,7 @@
 
     /// This member's report of its front node, where the state has another.
     fn presence(&mut self, now: u64, state: &RecoveryState, inputs: &RecoveryInputs<'_>) -> Option<Command> {
-        let front = &inputs.front.state;
+        let front = &inputs.front.status;
         let serving = front.running_version.is_some() && front.ready;
         let has_endpoint_list = !self.relayed || inputs.has_list;
         let known = state.presences().get(&self.member);
--- a/crates/member/tests/config.rs
+++ b/crates/member/tests/config.rs
@@ -120,7 +120,7 @@
 
     let rollout = file.rollout.as_ref().unwrap();
     let budget = |budget: &pinetrestle_member::config::BudgetConfig| {
-        (budget.max_away, budget.max_share, budget.max_away_per_zone)
+        (budget.max_unavailable, budget.max_unavailable_share, budget.max_unavailable_per_zone)
     };
     assert_eq!(rollout.revision, 7);
     assert_eq!((budget(&rollout.nodes), budget(&rollout.servers)), ((2, 0.25, Some(3)), (4, 0.5, Some(5))));
@@ -159,7 +159,7 @@
     assert_eq!((file.tick_ms, file.election_ticks, file.heartbeat_ticks, file.lease_ms), (50, 10, 2, 2_000));
     assert_eq!((file.action_interval_ms, file.snapshot_interval), (50, 1_000));
     let rollout = file.rollout.as_ref().unwrap();
-    assert_eq!((rollout.nodes.max_share, rollout.nodes.max_away_per_zone), (1.0, None));
+    assert_eq!((rollout.nodes.max_unavailable_share, rollout.nodes.max_unavailable_per_zone), (1.0, None));
     assert_eq!(
         (rollout.canary_nodes, rollout.max_failed_steps, rollout.max_failed_query_share),
         (1, 1, 0.01)
