--- a/crates/member/src/front_node_process/health_poll.rs
+++ b/crates/member/src/front_node_process/health_poll.rs
@@ -1,4 +1,4 @@
-//! One poll of a front node over HTTP: its readiness (`/health/ready`) and its counters (`/stats`).
+//! Polls a front node over HTTP for its readiness (`/health/ready`) and its counters (`/stats`).
 
 use crate::http_client::{self, StreamingResponse};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -10,26 +10,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a response of the front node may take.
+/// Maximum time from connecting to the front node to the end of its response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes of a response's body that are read at most.
+/// Maximum size of a response body in bytes; a larger one counts as no response.
 const MAX_BODY_BYTES: usize = 256 * 1024;
-/// The status of a front node that is ready.
+/// The HTTP status with which a front node answers `/health/ready` when it is ready.
 const READY_STATUS: u16 = 200;
 
-/// What a front node answered to one poll.
+/// The responses of a front node to one poll.
 pub(super) struct HealthPoll {
-    /// Whether it says that it is ready; none where it did not answer in time.
+    /// Whether the front node reports that it is ready; `None` if it did not respond in time.
     pub(super) ready: Option<bool>,
-    /// Its counters; none where it did not answer in time, or not with JSON.
+    /// The counters; `None` if the front node did not respond in time, or not with JSON.
     pub(super) counters: Option<Counters>,
 }
 
-/// A front node's counters, as far as a member reads them.
+/// The counters of a front node that its member uses.
 pub(super) struct Counters {
-    /// What they say of its health.
+    /// The counters by which its health is checked after an update.
     pub(super) health: HealthCounters,
-    /// Endpoint lists received since its start.
+    /// Number of endpoint lists that the front node has received since its start.
     pub(super) lists_received: u64,
 }
 
@@ -39,8 +39,8 @@
 }
 
 impl HealthPoll {
-    /// Polls the front node that listens on `address`.
-    pub(super) async fn of(address: SocketAddr) -> HealthPoll {
+    /// Polls the front node that listens on `address`; both requests are sent at the same time.
+    pub(super) async fn send(address: SocketAddr) -> HealthPoll {
         let (readiness, stats) = tokio::join!(get(address, "/health/ready"), get(address, "/stats"));
         let counters = stats
             .and_then(|response| serde_json::from_slice::<Value>(&response.body).ok())
@@ -50,25 +50,26 @@
 }
 
 impl Counters {
+    /// Reads the counters from the body of `/stats`. A counter that is missing is 0.
     fn from_stats(stats: &Value) -> Counters {
         let classes: Vec<&Value> =
             stats["queries"].as_object().map(|classes| classes.values().collect()).unwrap_or_default();
-        let sum = |name: &str| classes.iter().map(|class| count(&class[name])).sum::<u64>();
+        let sum = |name: &str| classes.iter().map(|class| counter(&class[name])).sum::<u64>();
         let health = HealthCounters {
             answered: sum("whole") + sum("partial"),
             failed: sum("failed"),
-            defects: count(&stats["own"]["module_restarts"]) + count(&stats["own"]["stray_attempts"]),
+            defects: counter(&stats["own"]["module_restarts"]) + counter(&stats["own"]["stray_attempts"]),
         };
-        Counters { health, lists_received: count(&stats["discovery"]["lists"]) }
+        Counters { health, lists_received: counter(&stats["discovery"]["lists"]) }
     }
 }
 
-/// A counter of `/stats`, 0 where it is missing.
-fn count(value: &Value) -> u64 {
+/// Reads one counter; 0 if it is missing or not an unsigned integer.
+fn counter(value: &Value) -> u64 {
     value.as_u64().unwrap_or(0)
 }
 
-/// One GET request; none where it was not answered in time.
+/// Sends a GET request. Returns `None` if it fails or is not answered within [`RESPONSE_TIMEOUT`].
 async fn get(address: SocketAddr, path: &str) -> Option<PolledResponse> {
     let exchange = async {
         let request = Request::get(path)
--- a/crates/member/src/front_node_process/mod.rs
+++ b/crates/member/src/front_node_process/mod.rs
@@ -1,8 +1,10 @@
-//! This member's front node as a process: started, stopped, found again after the member's own restart, and polled for
-//! its health and counters. What to do with it is decided by [`pinetrestle_rollout::Agent`]; nothing is decided here.
+//! Runs this member's front node as a separate process: starts, signals and polls it, and finds it again
+//! after the member itself was restarted. [`pinetrestle_rollout::Agent`] decides when to start or stop the
+//! front node; this module only carries out its decisions.
 //!
-//! The front node does not belong to the member's process: it goes on when the member ends, and the member's next start
-//! finds it by a mark in its environment. No file records its process id, so none can be wrong.
+//! The front node outlives the member's process: it keeps running when the member exits. The restarted member
+//! finds it by an environment variable that was set when the front node was started. There is no file with
+//! its process id, because such a file could be outdated.
 
 mod health_poll;
 mod process;
@@ -18,43 +20,46 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::MissedTickBehavior;
 
-/// Polls in a row without an answer after which a front node that was ready no longer counts as ready.
+/// Number of consecutive unanswered polls after which a front node that was ready no longer counts as ready.
 const MAX_MISSED_POLLS: u32 = 3;
 
-/// What one poll of the front node showed.
+/// The state of the front node as of the last poll.
 #[derive(Debug, Clone, Default)]
 pub struct FrontNodeObservation {
-    /// Its version, whether it is ready, and its counters: what the agent decides by.
+    /// The input of [`pinetrestle_rollout::Agent`]: the running version, the readiness and the health
+    /// counters.
     pub status: FrontNodeStatus,
-    /// Endpoint lists it has received since its start, by its own counter; the relay measures by it what the front
-    /// node has been notified of.
+    /// Number of endpoint lists that the front node has received since its start, by its own counter. The
+    /// relay uses it to find out whether the front node has received a list.
     pub lists_received: u64,
-    /// Its process id, 0 if none.
+    /// The process id; 0 if there is no process.
     pub pid: u32,
-    /// Whether it was polled at all yet.
+    /// Whether this is a real observation, as opposed to the default value before the first one.
     pub observed: bool,
 }
 
-/// Drives one front node: carries out the agent's actions and polls the process.
+/// The driver of one front node: carries out the actions of [`pinetrestle_rollout::Agent`] and polls the
+/// process.
 pub struct FrontNodeDriver {
     config: FrontNodeConfig,
     launcher: Launcher,
-    /// The running process, if one is known.
+    /// The process of the front node, unless none is known or its end was noticed.
     process: Option<Process>,
-    /// Polls in a row that were not answered.
+    /// Number of consecutive polls that were not answered.
     missed_polls: u32,
-    /// What the last poll showed.
+    /// The last observation.
     last: FrontNodeObservation,
     log: Logger,
 }
 
 impl FrontNodeDriver {
-    /// The front node of the member whose data is in `data_dir`; one that runs already is found again.
+    /// Creates the driver for the front node of the member with the data directory `data_dir`, and looks for
+    /// a process that an earlier run of this member started.
     pub fn new(config: FrontNodeConfig, data_dir: &Path, log: Logger) -> FrontNodeDriver {
         let launcher = Launcher::new(data_dir);
         let process = launcher.find_running();
         if let Some(found) = &process {
-            info!(log, "front node found"; "pid" => found.pid, "version" => &found.version);
+            info!(log, "found running front node"; "pid" => found.pid, "version" => &found.version);
         }
         FrontNodeDriver {
             config,
@@ -66,7 +71,8 @@
         }
     }
 
-    /// Carries out actions and publishes observations until the member ends.
+    /// Carries out actions, and publishes an observation after each action and at each poll interval, until
+    /// the sender of `actions` is dropped.
     pub async fn run(
         mut self,
         mut actions: mpsc::Receiver<ProcessAction>,
@@ -97,7 +103,8 @@
         }
     }
 
-    /// Starts a version, unless a process runs or the file does not name the version.
+    /// Starts a version. Does nothing if a process is running or the configuration file does not contain the
+    /// version.
     fn start(&mut self, version: String, safe_mode: bool) {
         if self.process.is_some() {
             return;
@@ -110,11 +117,12 @@
                 self.process = Some(process);
             }
             Err(error) => {
-                warn!(self.log, "front node not started"; "version" => version, "error" => %error);
+                warn!(self.log, "front node could not be started"; "version" => version, "error" => %error);
             }
         }
     }
 
+    /// Sends a signal that ends the process, if there is one. `name` is the signal's name for the log.
     fn signal(&mut self, signal: Signal, name: &str) {
         let Some(process) = &mut self.process else { return };
         let Some(sent) = process.signal(signal) else { return };
@@ -122,13 +130,14 @@
             "signal" => name, "sent" => sent);
     }
 
-    /// Forgets the process if it has ended.
+    /// Drops the process if it has ended.
     fn reap(&mut self) {
         let Some(process) = self.process.take_if(|process| process.has_ended()) else { return };
-        info!(self.log, "front node ended"; "pid" => process.pid, "version" => process.version);
+        info!(self.log, "front node exited"; "pid" => process.pid, "version" => process.version);
         self.missed_polls = 0;
     }
 
+    /// Checks whether the process still runs, and polls it unless it was told to end.
     async fn observe(&mut self) -> FrontNodeObservation {
         self.reap();
         let Some(process) = &self.process else {
@@ -146,9 +155,9 @@
                 observed: true,
             };
         }
-        let poll = HealthPoll::of(self.config.listen).await;
+        let poll = HealthPoll::send(self.config.listen).await;
         let same_process = self.last.pid == pid;
-        let ready = self.judge_readiness(poll.ready, same_process);
+        let ready = self.update_readiness(poll.ready, same_process);
         let (counters, lists_received) = match poll.counters {
             Some(polled) => (polled.health, polled.lists_received),
             None if same_process => (self.last.status.counters, self.last.lists_received),
@@ -162,9 +171,9 @@
         }
     }
 
-    /// Whether the front node counts as ready: by its answer, or, where it gave none, as before for up to
-    /// [`MAX_MISSED_POLLS`].
-    fn judge_readiness(&mut self, answer: Option<bool>, same_process: bool) -> bool {
+    /// Returns whether the front node counts as ready. Without an answer, a process that counted as ready
+    /// still does until [`MAX_MISSED_POLLS`] consecutive polls were not answered.
+    fn update_readiness(&mut self, answer: Option<bool>, same_process: bool) -> bool {
         match answer {
             Some(ready) => {
                 self.missed_polls = 0;
--- a/crates/member/src/front_node_process/process.rs
+++ b/crates/member/src/front_node_process/process.rs
@@ -1,4 +1,4 @@
-//! The operating system's side of a front node's process: starting it, signalling it, finding it again in `/proc`.
+//! Starts and signals the front node's process, and finds a running one in `/proc`.
 
 use crate::config::LaunchConfig;
 use rustix::process::{Pid, Signal};
@@ -7,34 +7,37 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// The environment variable that marks a member's front node: the member's data directory, a colon, the version.
-const MARK_VARIABLE: &str = "PINETRESTLE_FRONT";
-/// The file in the member's data directory that takes the front node's output.
+/// The environment variable by which a member recognizes its front node. Its value is the member's data
+/// directory, a colon and the version.
+const MARKER_VARIABLE: &str = "PINETRESTLE_FRONT";
+/// The file in the member's data directory to which the front node's standard output and error are appended.
 const OUTPUT_FILE: &str = "front.log";
 
-/// A running process that is this member's front node.
+/// The process of this member's front node.
 pub(super) struct Process {
-    /// Its process id.
+    /// The process id.
     pub(super) pid: u32,
-    /// Its version.
+    /// The version of the front node that it runs.
     pub(super) version: String,
-    /// Whether it was signalled to end: it is not polled any more, since one that ends waits for the last of its
-    /// callers.
+    /// Whether it was sent a signal to end. It is not polled any more then: a front node waits for its
+    /// clients' connections before it ends, and a poll would be one of them.
     pub(super) ending: bool,
-    /// The child, where this run of the member started it; its end is then waited for.
+    /// The child handle, with which its exit status is collected; `None` if an earlier run of the member
+    /// started the process.
     child: Option<Child>,
 }
 
 impl Process {
-    /// Sends a signal by which it is to end, and says whether that succeeded; none where the id is not one of a
-    /// process.
+    /// Sends a signal that ends the process, and returns whether that succeeded. Returns `None` if the
+    /// process id is not valid.
     pub(super) fn signal(&mut self, signal: Signal) -> Option<bool> {
         self.ending = true;
         let pid = Pid::from_raw(self.pid as i32)?;
         Some(rustix::process::kill_process(pid, signal).is_ok())
     }
 
-    /// Whether it has ended; one that this run of the member started is waited for.
+    /// Returns whether the process has ended. Does not block. Collects the exit status of a child of this
+    /// process.
     pub(super) fn has_ended(&mut self) -> bool {
         match &mut self.child {
             Some(child) => !matches!(child.try_wait(), Ok(None)),
@@ -43,22 +46,25 @@
     }
 }
 
-/// Starts and finds the front node of one member.
+/// Starts the front node of one member, or finds it if it is running.
 pub(super) struct Launcher {
-    /// What the mark of this member's front node begins with; the version follows.
-    mark: String,
-    /// Where the front node's output goes.
+    /// The value of [`MARKER_VARIABLE`] for this member's front node, without the version at its end.
+    marker_prefix: String,
+    /// The file to which the front node's output is appended.
     output: PathBuf,
 }
 
 impl Launcher {
-    /// For the member whose data is in `data_dir`.
+    /// Creates the launcher of the member with the data directory `data_dir`.
     pub(super) fn new(data_dir: &Path) -> Launcher {
         let owner = data_dir.canonicalize().unwrap_or_else(|_| data_dir.to_path_buf());
-        Launcher { mark: format!("{}:", owner.display()), output: data_dir.join(OUTPUT_FILE) }
+        Launcher { marker_prefix: format!("{}:", owner.display()), output: data_dir.join(OUTPUT_FILE) }
     }
 
-    /// Starts one version.
+    /// Starts one version of the front node.
+    ///
+    /// # Errors
+    /// If the output file cannot be opened or the program cannot be started.
     pub(super) fn start(
         &self,
         launch: &LaunchConfig,
@@ -72,41 +78,45 @@
             command.envs(&launch.safe_mode_env);
         }
         let child = command
-            .env(MARK_VARIABLE, format!("{}{version}", self.mark))
+            .env(MARKER_VARIABLE, format!("{}{version}", self.marker_prefix))
             .stdin(Stdio::null())
             .stdout(output.try_clone()?)
             .stderr(output)
-            // A signal to the member's process group, for example a terminal's, is not meant for the front node.
+            // A process group of its own, so that signals to the member's group, such as Ctrl-C in a
+            // terminal, do not reach the front node.
             .process_group(0)
             .spawn()?;
         Ok(Process { pid: child.id(), version: version.to_owned(), ending: false, child: Some(child) })
     }
 
-    /// The running process that carries this member's mark; the one with the lowest id where there are several.
+    /// Returns the running process that has this member's marker in its environment. If there are several,
+    /// returns the one with the lowest process id.
     pub(super) fn find_running(&self) -> Option<Process> {
-        let mark = format!("{MARK_VARIABLE}={}", self.mark);
+        let marker = format!("{MARKER_VARIABLE}={}", self.marker_prefix);
         let marked: BTreeMap<u32, String> = std::fs::read_dir("/proc")
             .ok()?
             .filter_map(|entry| entry.ok()?.file_name().to_str()?.parse::<u32>().ok())
             .filter(|pid| is_alive(*pid))
-            .filter_map(|pid| Some((pid, marked_version(pid, &mark)?)))
+            .filter_map(|pid| Some((pid, marked_version(pid, &marker)?)))
             .collect();
         let (pid, version) = marked.into_iter().next()?;
         Some(Process { pid, version, ending: false, child: None })
     }
 }
 
-/// The version that follows `mark` in a process's environment, if the mark is there.
-fn marked_version(pid: u32, mark: &str) -> Option<String> {
+/// Returns the text that follows `marker` in the environment of a process, which is the version; `None` if no
+/// variable begins with `marker`.
+fn marked_version(pid: u32, marker: &str) -> Option<String> {
     let environment = std::fs::read(format!("/proc/{pid}/environ")).ok()?;
     let version =
-        environment.split(|byte| *byte == 0).find_map(|variable| variable.strip_prefix(mark.as_bytes()))?;
+        environment.split(|byte| *byte == 0).find_map(|variable| variable.strip_prefix(marker.as_bytes()))?;
     String::from_utf8(version.to_vec()).ok()
 }
 
-/// Whether a process runs; a zombie, which has ended and is not waited for by its parent, does not.
+/// Returns whether a process is running. A zombie has ended, although its parent has not yet collected its
+/// exit status.
 fn is_alive(pid: u32) -> bool {
-    // proc(5): the state is the field after the program's name in parentheses.
+    // See proc(5): the state is the field after the name of the program, which is in parentheses.
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let state = stat.rsplit(") ").next().and_then(|rest| rest.chars().next());
     !matches!(state, None | Some('Z' | 'X'))
--- a/crates/member/src/http_client.rs
+++ b/crates/member/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 requests of a member, each on a connection of its own.
+//! A minimal HTTP/1.1 client that opens a new connection for each request.
 
 use http_body_util::Empty;
 use hyper::body::{Bytes, Incoming};
@@ -8,16 +8,16 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// A response whose body is still to be read.
+/// A response whose head has arrived and whose body is read as it arrives.
 pub struct StreamingResponse {
-    /// The response's head, and its body as it arrives.
+    /// The head and the body of the response.
     pub response: Response<Incoming>,
-    /// The task that drives the connection; to be aborted once the body has been read.
+    /// The task that drives the connection. The caller aborts it when it no longer reads the body.
     pub connection: JoinHandle<hyper::Result<()>>,
 }
 
-/// Sends a request to `address` and waits for the head of its response; none where the connection or the request
-/// fails. The caller bounds the time.
+/// Sends a request to `address` and waits for the head of the response. Returns `None` if the connection or
+/// the request fails. There is no timeout: the caller has to set one.
 pub async fn send_request(address: SocketAddr, request: Request<Empty<Bytes>>) -> Option<StreamingResponse> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
--- a/crates/member/src/logging.rs
+++ b/crates/member/src/logging.rs
@@ -1,11 +1,13 @@
-//! Structured logs: one JSON object a line on standard error, written by the logging library's own thread.
+//! Structured logging: each record is one line of JSON on standard error, written by a thread of
+//! `slog_async`.
 
 use slog::{o, Drain, Level, LevelFilter, Logger};
 
-/// Log lines that wait to be written, at most; further ones are dropped and counted by the library.
+/// Maximum number of records that wait to be written. `slog_async` drops further records and reports how
+/// many.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// A logger whose lines carry the member's number (0 for the `fleet` program itself).
+/// Creates a logger that adds the member's id to each record (0 for the `fleet` program itself).
 pub fn logger(member: u64) -> Logger {
     let json = slog_json::Json::new(std::io::stderr()).add_default_keys().build().fuse();
     let filtered = LevelFilter::new(json, Level::Info).fuse();
--- a/crates/member/src/relay/discovery_watch.rs
+++ b/crates/member/src/relay/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The relay's own watch of discovery, opened again for as long as the member runs.
+//! The relay's watch of discovery's endpoint list, reopened whenever it ends.
 
 use super::endpoint_list::{apply_watch_event, discovered_server};
 use super::{DiscoveredServers, UpstreamList, LIST_PATH};
@@ -19,16 +19,17 @@
 use tokio::sync::watch;
 use tokio::time::{timeout_at, Instant};
 
-/// Time without a complete line after which the watch is given up and the list is no longer passed on.
+/// Maximum time to open a watch, and maximum time without a complete event or blank line on it. After that
+/// the watch is closed, and the list is no longer passed on.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time between the end of a watch and the next attempt to open one.
+/// Delay between the end of a watch, or a failed attempt to open one, and the next attempt.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Where the list of discovery is published.
+/// The channels on which discovery's list is published within the process.
 pub(super) struct ListPublisher {
-    /// The list as JSON, for the front node.
+    /// The entries as JSON, for the watches of the front node.
     pub(super) upstream: watch::Sender<UpstreamList>,
-    /// What the list says, for the member.
+    /// The zone and status of each listed index server, for the member.
     pub(super) discovered: watch::Sender<DiscoveredServers>,
 }
 
@@ -39,45 +40,45 @@
         self.discovered.send_replace(Some(discovered.collect()));
     }
 
-    /// Says that no list is known to be fresh.
+    /// Publishes that no up-to-date list is available.
     fn withdraw(&self) {
         self.upstream.send_replace(None);
         self.discovered.send_replace(None);
     }
 }
 
-/// Why a watch ended.
+/// Why a watch of discovery ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WatchEnd {
-    /// It could not be opened.
-    NoAnswer,
-    /// No complete line came for [`SILENCE_TIMEOUT`].
+    /// The watch could not be opened: discovery did not respond in time, or not with status 200.
+    NotOpened,
+    /// Neither a complete event nor a blank line arrived within [`SILENCE_TIMEOUT`].
     Silent,
     /// Discovery ended the response.
     EndedByPeer,
     /// The connection failed.
-    Reset,
-    /// A watch event was longer than [`MAX_ENDPOINT_LIST_BYTES`].
-    LineTooLong,
-    /// A line was not a watch event.
-    BadList,
+    ConnectionFailed,
+    /// An event was longer than [`MAX_ENDPOINT_LIST_BYTES`].
+    EventTooLong,
+    /// Data on the watch was not a valid event.
+    InvalidEvent,
 }
 
 impl WatchEnd {
-    /// The reason code in the log.
+    /// Returns the reason code that is logged.
     fn reason(self) -> &'static str {
         match self {
-            WatchEnd::NoAnswer => "no_answer",
+            WatchEnd::NotOpened => "no_answer",
             WatchEnd::Silent => "silent",
             WatchEnd::EndedByPeer => "ended_by_peer",
-            WatchEnd::Reset => "reset",
-            WatchEnd::LineTooLong => "line_too_long",
-            WatchEnd::BadList => "bad_list",
+            WatchEnd::ConnectionFailed => "reset",
+            WatchEnd::EventTooLong => "line_too_long",
+            WatchEnd::InvalidEvent => "bad_list",
         }
     }
 }
 
-/// Watches discovery for as long as the member runs.
+/// Watches discovery and publishes its list until the member's process ends.
 pub(super) async fn run(discovery: SocketAddr, publisher: ListPublisher, log: Logger) {
     let mut list = BTreeMap::new();
     loop {
@@ -87,7 +88,7 @@
                 connection.abort();
                 end
             }
-            None => WatchEnd::NoAnswer,
+            None => WatchEnd::NotOpened,
         };
         info!(log, "connection ended"; "side" => "discovery", "peer" => %discovery, "reason" => end.reason());
         publisher.withdraw();
@@ -95,6 +96,7 @@
     }
 }
 
+/// Opens a watch. Returns `None` if discovery does not respond with status 200 within [`SILENCE_TIMEOUT`].
 async fn open_watch(discovery: SocketAddr) -> Option<StreamingResponse> {
     let exchange = async {
         let request = Request::get(format!("{LIST_PATH}?watch=1&after=0"))
@@ -107,34 +109,35 @@
     tokio::time::timeout(SILENCE_TIMEOUT, exchange).await.ok().flatten()
 }
 
-/// Reads a watch until it ends; why it did.
+/// Reads a watch and publishes the list after each event, until the watch ends. Returns why it ended.
 async fn read_watch(
     mut body: Incoming,
     list: &mut BTreeMap<String, Value>,
     publisher: &ListPublisher,
 ) -> WatchEnd {
     let mut events = JsonStreamSplitter::default();
-    // Only a complete event or blank line extends it: single bytes, or half a list, say nothing.
+    // Extended only by a complete event or blank line: a peer that sends single bytes, or half of a list,
+    // must count as silent.
     let mut deadline = Instant::now() + SILENCE_TIMEOUT;
     loop {
         let frame = match timeout_at(deadline, body.frame()).await {
             Err(_) => return WatchEnd::Silent,
             Ok(None) => return WatchEnd::EndedByPeer,
-            Ok(Some(Err(_))) => return WatchEnd::Reset,
+            Ok(Some(Err(_))) => return WatchEnd::ConnectionFailed,
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
         events.feed(&data);
         loop {
-            let piece = match events.next_item(MAX_ENDPOINT_LIST_BYTES) {
-                Err(StreamItemTooLong) => return WatchEnd::LineTooLong,
+            let item = match events.next_item(MAX_ENDPOINT_LIST_BYTES) {
+                Err(StreamItemTooLong) => return WatchEnd::EventTooLong,
                 Ok(None) => break,
-                Ok(Some(piece)) => piece,
+                Ok(Some(item)) => item,
             };
             deadline = Instant::now() + SILENCE_TIMEOUT;
-            let StreamItem::Text(event) = piece else { continue };
+            let StreamItem::Text(event) = item else { continue };
             if apply_watch_event(&event, list).is_err() {
-                return WatchEnd::BadList;
+                return WatchEnd::InvalidEvent;
             }
             publisher.publish(list);
         }
--- a/crates/member/src/relay/mod.rs
+++ b/crates/member/src/relay/mod.rs
@@ -1,11 +1,18 @@
-//! The relay of the endpoint list to this member's front node: discovery's list, with the fleet's drains applied.
+//! Relays discovery's endpoint list to this member's front node, with the drains that the fleet has decided
+//! applied to it.
 //!
-//! The front node watches this relay as it would watch discovery, and sees a drain of the fleet as any other drain:
-//! status `draining` in the list. One list at a time is sent, and the next only after the front node's own counter of
-//! lists shows that it has received the last; so what is reported as notified has been notified.
+//! The endpoint list names the index servers and gives the zone and status of each. A client of discovery
+//! either polls the list or watches it: a watch is an HTTP response that does not end, in which each change
+//! of the list is a JSON object and a blank line is a heartbeat. The relay watches discovery, and the
+//! front node watches the relay in the same way. A drain that the fleet has decided therefore looks to the
+//! front node like any other drain: the index server has the status `draining` in the list.
 //!
-//! While discovery itself is silent the relay is silent too and ends its watches: a list that may be outdated is not
-//! passed on as a fresh one.
+//! On each watch the relay sends the next list only after the front node's own counter of received lists has
+//! grown. So a drain is reported as known to the front node only after the front node has received it.
+//!
+//! When the watch of discovery ends or is silent for too long, the relay ends the front node's watches and
+//! answers further requests with status 503 until discovery sends a list again: a list that may be outdated
+//! must not be passed on as a fresh one.
 
 mod discovery_watch;
 mod endpoint_list;
@@ -22,80 +29,86 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The path of the endpoint list, at discovery and at the relay.
+/// URL path of the endpoint list, both on discovery and on the relay.
 const LIST_PATH: &str = "/registry/instances";
-/// Time between two blank lines on a watch on which nothing changes.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+/// Time after which a blank line is sent on a watch if nothing else was sent.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the fleet has decided on index servers for this front node.
+/// The drains of index servers that the fleet has decided, as they apply to this member's front node.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DrainView {
-    /// Index servers it is not to send to, by name.
+    /// The names of the index servers that the front node must not send to.
     pub drained_servers: BTreeSet<String>,
-    /// The log index of the last change of each index server that was ever drained, by name.
+    /// For each index server that was ever drained, by name, the Raft log index of the command that last
+    /// changed its drain phase.
     pub change_indexes: BTreeMap<String, u64>,
 }
 
-/// What discovery says of one index server.
+/// The zone and status of one index server in discovery's endpoint list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DiscoveredServer {
-    /// Its zone; empty where discovery names none.
+    /// The zone of the server; empty if discovery gives none.
     pub zone: String,
-    /// Whether it is listed as up.
+    /// Whether the server has the status `up`.
     pub up: bool,
 }
 
-/// What discovery lists, by name; none while discovery is silent.
+/// The index servers in discovery's endpoint list, by name; `None` while there is no working watch of
+/// discovery.
 pub type DiscoveredServers = Option<BTreeMap<String, DiscoveredServer>>;
 
-/// The ends of the relay's channels that the member holds.
+/// The member's ends of the channels to and from the relay.
 pub struct RelayHandles {
-    /// What the fleet has decided.
+    /// The drains that the fleet has decided, for the relay to apply.
     pub drain_view: watch::Sender<DrainView>,
-    /// What discovery lists.
+    /// The index servers that discovery lists.
     pub discovered: watch::Receiver<DiscoveredServers>,
-    /// The changes the front node has been notified of, in the form of [`DrainView::change_indexes`].
-    pub notified: watch::Receiver<BTreeMap<String, u64>>,
+    /// The [`DrainView::change_indexes`] of the last list that the front node has received.
+    pub notified_indexes: watch::Receiver<BTreeMap<String, u64>>,
 }
 
-/// Discovery's endpoint list as JSON; none while discovery is silent.
+/// The entries of discovery's endpoint list as JSON; `None` while there is no working watch of discovery.
 type UpstreamList = Option<Rc<Vec<Value>>>;
 
-/// What the relay's tasks share.
+/// State shared by the tasks of the relay.
 struct Relay {
-    /// Discovery's list.
+    /// Discovery's endpoint list.
     upstream: watch::Receiver<UpstreamList>,
-    /// What the fleet has decided.
+    /// The drains that the fleet has decided.
     drain_view: watch::Receiver<DrainView>,
-    /// What polls of the front node show.
+    /// The result of the last poll of the front node, which holds its counter of received lists.
     observations: watch::Receiver<FrontNodeObservation>,
-    /// The changes the front node has been notified of.
-    notified: watch::Sender<BTreeMap<String, u64>>,
+    /// The [`DrainView::change_indexes`] of the last list that the front node has received.
+    notified_indexes: watch::Sender<BTreeMap<String, u64>>,
     log: Logger,
 }
 
-/// A list for the front node, and the changes of the fleet that it shows.
+/// An endpoint list for the front node, with the version of the drains that are applied to it.
 struct DrainedList {
-    /// Discovery's list with the fleet's drains applied; none while discovery is silent.
+    /// Discovery's list with the fleet's drains applied; `None` while there is no working watch of discovery.
     endpoints: Option<Vec<Value>>,
-    /// In the form of [`DrainView::change_indexes`].
-    changes: BTreeMap<String, u64>,
+    /// The [`DrainView::change_indexes`] of the drains that are applied.
+    change_indexes: BTreeMap<String, u64>,
 }
 
 impl Relay {
+    /// Applies the current drains to the current list of discovery.
     fn current_list(&self) -> DrainedList {
         let drain_view = self.drain_view.borrow();
         let upstream = self.upstream.borrow();
         let endpoints =
             upstream.as_ref().map(|list| endpoint_list::with_drains(list, &drain_view.drained_servers));
-        DrainedList { endpoints, changes: drain_view.change_indexes.clone() }
+        DrainedList { endpoints, change_indexes: drain_view.change_indexes.clone() }
     }
 }
 
-/// Starts the relay: watches discovery and listens for the front node.
+/// Starts the relay's tasks: the watch of discovery and the HTTP server for the front node.
+///
+/// `observations` is the channel on which the results of polls of the front node are published.
 ///
 /// # Errors
-/// When the address can't be bound for [`pinetrestle_system_calls::STARTUP_TIMEOUT`].
+/// If the relay's address cannot be bound. A transient failure, such as a lack of ports, is retried for
+/// [`pinetrestle_system_calls::STARTUP_TIMEOUT`].
 pub async fn start(
     config: &RelayConfig,
     observations: watch::Receiver<FrontNodeObservation>,
@@ -105,17 +118,18 @@
     let (upstream_sender, upstream) = watch::channel(None);
     let (discovered_sender, discovered) = watch::channel(None);
     let (drain_view_sender, drain_view) = watch::channel(DrainView::default());
-    let (notified_sender, notified) = watch::channel(BTreeMap::new());
+    let (notified_sender, notified_indexes) = watch::channel(BTreeMap::new());
     let publisher = ListPublisher { upstream: upstream_sender, discovered: discovered_sender };
     tokio::task::spawn_local(discovery_watch::run(config.upstream, publisher, log.clone()));
-    let relay = Rc::new(Relay { upstream, drain_view, observations, notified: notified_sender, log });
+    let relay = Rc::new(Relay { upstream, drain_view, observations, notified_indexes: notified_sender, log });
     tokio::task::spawn_local(server::run(listener, relay));
-    Ok(RelayHandles { drain_view: drain_view_sender, discovered, notified })
+    Ok(RelayHandles { drain_view: drain_view_sender, discovered, notified_indexes })
 }
 
-/// Replaces a watch channel's value, and wakes its receivers only where the new value differs.
-pub fn send_if_changed<T: PartialEq>(watch: &watch::Sender<T>, value: T) {
-    watch.send_if_modified(|current| {
+/// Replaces the value of a watch channel, and wakes its receivers only if the new value differs from the old
+/// one.
+pub fn send_if_changed<T: PartialEq>(sender: &watch::Sender<T>, value: T) {
+    sender.send_if_modified(|current| {
         let changed = *current != value;
         *current = value;
         changed
--- a/crates/member/src/relay/server.rs
+++ b/crates/member/src/relay/server.rs
@@ -1,4 +1,4 @@
-//! The relay's listener: the endpoint list over HTTP/1.1 to the front node, as a poll or a watch.
+//! The HTTP/1.1 server of the relay: answers the front node's polls and watches of the endpoint list.
 
 use super::endpoint_list::snapshot_line;
 use super::front_node_watch::FrontNodeWatch;
@@ -16,16 +16,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Semaphore};
 
-/// Connections served at once, at most: more than a front node ever has.
+/// Maximum number of open connections, which is more than a front node ever opens.
 const MAX_CONNECTIONS: usize = 16;
-/// Time between a failed accept and the next one.
+/// Delay before the next `accept` after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The index of the list in the answer to a poll.
+/// The version number given to the list in the response to a poll. Only the lists of a watch are counted.
 const POLL_INDEX: u64 = 1;
 
 type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// Accepts connections of the front node until the member ends; one over [`MAX_CONNECTIONS`] is closed at once.
+/// Accepts connections of the front node until the member's process ends. Connections beyond
+/// [`MAX_CONNECTIONS`] are closed at once.
 pub(super) async fn run(listener: TcpListener, relay: Rc<Relay>) {
     let permits = Rc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -48,26 +49,26 @@
 
 async fn serve_connection(stream: TcpStream, relay: Rc<Relay>) {
     let log = relay.log.clone();
-    let service = hyper::service::service_fn(move |request| answer(request, relay.clone()));
+    let service = hyper::service::service_fn(move |request| handle_request(request, relay.clone()));
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     let reason = if connection.await.is_ok() { "closed" } else { "reset" };
     info!(log, "connection ended"; "side" => "front", "reason" => reason);
 }
 
-async fn answer(request: Request<Incoming>, relay: Rc<Relay>) -> Result<Response<Body>, Infallible> {
+async fn handle_request(request: Request<Incoming>, relay: Rc<Relay>) -> Result<Response<Body>, Infallible> {
     if request.uri().path() != LIST_PATH {
-        return Ok(respond(StatusCode::NOT_FOUND, Empty::new().boxed_unsync()));
+        return Ok(response(StatusCode::NOT_FOUND, Empty::new().boxed_unsync()));
     }
     if relay.upstream.borrow().is_none() {
-        return Ok(respond(StatusCode::SERVICE_UNAVAILABLE, Empty::new().boxed_unsync()));
+        return Ok(response(StatusCode::SERVICE_UNAVAILABLE, Empty::new().boxed_unsync()));
     }
     let is_watch = request.uri().query().unwrap_or_default().contains("watch=1");
     let body = if is_watch { watch_body(relay) } else { poll_body(&relay) };
-    Ok(respond(StatusCode::OK, body))
+    Ok(response(StatusCode::OK, body))
 }
 
-fn respond(status: StatusCode, body: Body) -> Response<Body> {
+fn response(status: StatusCode, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     response
@@ -78,7 +79,7 @@
     Full::new(Bytes::from(snapshot_line(&endpoints, POLL_INDEX))).boxed_unsync()
 }
 
-/// A body that streams the lines of a new watch.
+/// Starts a watch and returns the response body that streams its lines.
 fn watch_body(relay: Rc<Relay>) -> Body {
     let (sender, receiver) = mpsc::channel::<Bytes>(1);
     tokio::task::spawn_local(FrontNodeWatch::new(relay, sender).run());
--- a/crates/member/src/task_sink.rs
+++ b/crates/member/src/task_sink.rs
@@ -1,5 +1,7 @@
-//! A stand-in task sink: what receives actions taken under leases. It accepts an action only through the fence, and
-//! writes one line of JSON for each action, accepted or rejected, with the time of its arrival by its own clock.
+//! A stand-in for the service that receives the actions which members take under leases.
+//!
+//! The sink rejects an action whose fencing token is lower than one that it has already accepted for the same
+//! task. It writes one line of JSON for each action, accepted or rejected, with the time by its own clock.
 
 use crate::wire::{self, Action, Hello};
 use futures_util::StreamExt;
@@ -11,43 +13,47 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Actions that wait for the fence, at most; further connections are not read until there is room.
+/// Maximum number of received actions that wait to be processed. While the queue is full, nothing is read
+/// from the connections.
 pub const QUEUE_CAPACITY: usize = 4_096;
-/// Time between a failed accept and the next one.
+/// Delay before the next `accept` after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// One line of the sink's record.
+/// One line of the file in which the sink records the actions, as JSON.
 #[derive(Debug, Serialize)]
 pub struct ActionRecord {
-    /// Microseconds since the Unix epoch, by the sink's clock, when the action arrived.
+    /// Time when the sink processed the action, in microseconds since the Unix epoch, by the sink's clock.
     pub at_us: u64,
-    /// The member that sent it.
+    /// The id of the member that sent the action.
     pub member: u64,
-    /// The task.
+    /// The name of the task whose lease the member holds.
     pub task: String,
-    /// The fencing token it was sent under.
+    /// The fencing token of the lease.
     pub token: u64,
-    /// The member's count of its actions.
+    /// The sequence number of the action among those of the member.
     #[serde(rename = "seq")]
     pub sequence: u64,
-    /// When the member decided on it, in microseconds since the Unix epoch by the member's wall clock.
+    /// Time when the member decided on the action, in microseconds since the Unix epoch, by the member's wall
+    /// clock.
     pub sent_us: u64,
-    /// Whether it was accepted; false: it was rejected as stale.
+    /// Whether the action was accepted; `false` if its token was stale.
     #[serde(rename = "taken")]
     pub accepted: bool,
 }
 
-/// An action with the member that sent it.
+/// An action with the id of the member that sent it.
 struct ReceivedAction {
     member: u64,
     action: Action,
 }
 
-/// Runs the sink on `listen`, writing its record to `record`, until the process ends. The address it listens on, port 0
-/// resolved, is written to standard error as `listening ADDRESS`.
+/// Runs the sink on the address `listen` until the process ends, and writes an [`ActionRecord`] for each
+/// action to `record`. Prints `listening ADDRESS` to standard error, with the port that was assigned if the
+/// given one is 0.
 ///
 /// # Errors
-/// When the address can't be bound for [`pinetrestle_system_calls::STARTUP_TIMEOUT`] or the record can't be written.
+/// If the address cannot be bound (a transient failure is retried for
+/// [`pinetrestle_system_calls::STARTUP_TIMEOUT`]), or if `record` cannot be written.
 pub async fn run(listen: SocketAddr, mut record: Box<dyn Write>) -> std::io::Result<()> {
     let listener = pinetrestle_system_calls::listen(listen).await?;
     eprintln!("listening {}", listener.local_addr()?);
@@ -83,7 +89,8 @@
     }
 }
 
-/// Reads the actions of one member's connection until it ends.
+/// Reads actions from the connection of one member until the connection ends. Closes a connection that does
+/// not begin with [`Hello::Actions`], and skips frames that are not actions.
 async fn receive_actions(stream: TcpStream, queue: mpsc::Sender<ReceivedAction>) {
     let mut frames = wire::framed(stream);
     let Some(Ok(first)) = frames.next().await else { return };
