--- a/crates/member/src/cli/arguments.rs
+++ b/crates/member/src/cli/arguments.rs
@@ -1,10 +1,11 @@
-//! The command line of the `pinetrestle` program. The doc comments here are its `--help`.
+//! The arguments of the `pinetrestle` program. The doc comments on commands and arguments are the text of
+//! `--help`.
 
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The front node's fleet: members, leases for fleet-wide tasks.
+/// Manages a fleet of front nodes: its members, leases, releases, drains and recovery.
 #[derive(Debug, Parser)]
 #[command(name = "pinetrestle", version)]
 pub struct CommandLine {
@@ -14,79 +15,82 @@
 
 #[derive(Debug, Subcommand)]
 pub(super) enum CommandGroup {
-    /// Members of the fleet and their leases.
+    /// Commands on the fleet of front nodes.
     #[command(subcommand)]
     Fleet(FleetCommand),
 }
 
 #[derive(Debug, Subcommand)]
 pub(super) enum FleetCommand {
-    /// Runs one member, in the foreground, until it is ended.
+    /// Runs one member in the foreground until the process is ended.
     Up {
-        /// The fleet's JSON5 file for this member.
+        /// The member's configuration file (JSON5).
         #[arg(long)]
         config: PathBuf,
     },
-    /// Checks a complete fleet file and reports the first error, or nothing.
+    /// Checks a member's configuration file. Prints the first error, or nothing if the file is valid.
     Check {
-        /// The file.
+        /// The member's configuration file (JSON5).
         #[arg(long)]
         config: PathBuf,
     },
-    /// Shows a member's view: role, leader, term, leases with holder, token and time left.
+    /// Shows the state of the fleet as one member knows it: Raft role, leader and term; leases with holder,
+    /// fencing token and time left; drains, releases and recovery.
     Status(Target),
-    /// Explains why each task is held where it is, or why it waits.
+    /// Explains which member holds the lease on each task and why, and what a release, a drain or the
+    /// recovery waits for.
     Explain(Target),
-    /// Shows the stage of the fleet's return from a power loss, and why this member's front node waits.
+    /// Shows the stage of the fleet's recovery from a power loss, and why the member's front node waits.
     Recover(Target),
-    /// Has a member acquire the lease on a task, or release it.
+    /// Makes a member acquire or release the lease on a task.
     #[command(subcommand)]
     Lease(LeaseCommand),
-    /// Rolls the fleet to VERSION, canary first, within the budget.
+    /// Updates all front nodes to VERSION: canaries first, then the others, within the limits on unavailable
+    /// front nodes.
     Release {
-        /// The version, as each member's file names it.
+        /// The version, by its name in each member's configuration file.
         version: String,
         #[command(flatten)]
         options: RolloutOptions,
     },
-    /// Stops all new steps at once, fleet-wide, until resume or rollback.
+    /// Stops the start of new steps in the whole fleet until `resume` or `rollback`.
     Halt {
-        /// Why, shown by status.
+        /// The reason, which `status` shows.
         #[arg(long = "why", value_name = "WHY", default_value = "asked by an operator")]
         reason: String,
         #[command(flatten)]
         options: RolloutOptions,
     },
-    /// Goes on after a halt; failed steps are retried.
+    /// Ends a halt. Failed steps are retried.
     Resume {
         #[command(flatten)]
         options: RolloutOptions,
     },
-    /// Rolls back to the last good version, the same way; ends a halt.
+    /// Updates all front nodes back to the last good version, in the same way as a release. Ends a halt.
     Rollback {
         #[command(flatten)]
         options: RolloutOptions,
     },
-    /// Drains an index server for all front nodes, if the budget has a place.
+    /// Drains an index server for all front nodes, if the limits on unavailable index servers allow it.
     Drain {
-        /// Its name in discovery.
+        /// The name of the index server in discovery.
         server: String,
         #[command(flatten)]
         options: RolloutOptions,
     },
-    /// Brings a drained index server back, by the ramp the fleet shares.
+    /// Returns a drained index server to service, in stages in which more and more front nodes send to it.
     Return {
-        /// Its name in discovery.
+        /// The name of the index server in discovery.
         server: String,
         #[command(flatten)]
         options: RolloutOptions,
     },
-    /// Runs a stand-in task sink that accepts actions only through the fence and records each.
+    /// Runs a stand-in task sink, which rejects actions with a stale fencing token and records each action.
     Sink {
-        /// Address to listen on.
+        /// The address to listen on.
         #[arg(long)]
         listen: SocketAddr,
-        /// File of the record, one JSON line per action; standard output if none.
+        /// The file to record the actions in, one line of JSON each. Standard output by default.
         #[arg(long)]
         record: Option<PathBuf>,
     },
@@ -94,46 +98,46 @@
 
 #[derive(Debug, Subcommand)]
 pub(super) enum LeaseCommand {
-    /// The member requests the lease on TASK and, once it has it, renews it until it is released.
+    /// Makes the member request the lease on TASK, and renew it until `release`.
     Acquire {
-        /// The task.
+        /// The name of the task.
         task: String,
         #[command(flatten)]
         target: Target,
     },
-    /// The member releases the lease on TASK.
+    /// Makes the member release the lease on TASK, and no longer request it.
     Release {
-        /// The task.
+        /// The name of the task.
         task: String,
         #[command(flatten)]
         target: Target,
     },
 }
 
-/// A command on drains and releases: it may go to any member.
+/// Options of the commands on drains and releases, which any member accepts.
 #[derive(Debug, Args)]
 pub(super) struct RolloutOptions {
-    /// The command's idempotency key: sent again with the same one it does nothing more and is answered as before. A
-    /// new one by default.
+    /// The idempotency key of the command. A command that is repeated with the same key has no further effect
+    /// and gets the same answer. Random by default.
     #[arg(long)]
     pub(super) id: Option<String>,
     #[command(flatten)]
     pub(super) target: Target,
 }
 
-/// Which member a command goes to.
+/// The member to which a command goes, and how the response is printed.
 #[derive(Debug, Args)]
 pub(super) struct Target {
-    /// The member's fleet file; the command goes to the address it gives this member.
+    /// The member's configuration file, from which its address is taken.
     #[arg(long)]
     pub(super) config: Option<PathBuf>,
-    /// The member's address, instead of a file.
+    /// The member's address, which takes precedence over the one in the file.
     #[arg(long)]
     pub(super) at: Option<SocketAddr>,
-    /// Writes JSON instead of a table.
+    /// Prints JSON instead of text.
     #[arg(long)]
     pub(super) json: bool,
-    /// Seconds to wait for an answer.
+    /// Maximum time to wait for the response, in seconds.
     #[arg(long, default_value_t = 12)]
     pub(super) wait: u64,
 }
--- a/crates/member/src/cli/error.rs
+++ b/crates/member/src/cli/error.rs
@@ -1,21 +1,21 @@
-//! Why a command of the `pinetrestle` program failed, and with which exit code.
+//! The errors of the `pinetrestle` program's commands and their exit codes.
 
 use crate::error::MemberError;
 use pinetrestle_operator::FileError;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Why a command failed. The program writes it to standard error behind its name.
+/// Why a command failed. The program prints the message to standard error.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandError {
-    /// The asynchronous runtime can't be started.
-    #[error("no runtime: {0}")]
+    /// The Tokio runtime could not be started.
+    #[error("can't start the asynchronous runtime: {0}")]
     Runtime(std::io::Error),
-    /// The fleet file is rejected.
+    /// The configuration file is invalid or could not be read.
     #[error(transparent)]
-    File(#[from] FileError),
-    /// The command line names no member.
-    #[error("name the member by --config FILE or --at ADDR")]
+    ConfigFile(#[from] FileError),
+    /// The command line does not say to which member the command goes.
+    #[error("no member is given: use --config FILE or --at ADDR")]
     NoTarget,
     /// The member could not be reached or did not answer in time.
     #[error(transparent)]
@@ -23,39 +23,41 @@
     /// The member rejected the command.
     #[error("refused: {0}")]
     Rejected(String),
-    /// The member has no part in releases to report on.
-    #[error("this member takes no part in releases: its file has no rollout part")]
-    NoRolloutPart,
-    /// The task sink's record can't be created.
+    /// The member takes no part in releases, so its status has no section on recovery.
+    #[error("this member takes no part in releases: its configuration file has no rollout section")]
+    NotInRollout,
+    /// The file for the task sink's record could not be created.
     #[error("{}: {source}", path.display())]
     Record {
-        /// The record's file.
+        /// Path of the file.
         path: PathBuf,
-        /// What creating it gave.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The task sink can't listen or can't write its record.
-    #[error("sink: {0}")]
+    /// The task sink could not bind its address or write its record.
+    #[error("task sink failed: {0}")]
     Sink(std::io::Error),
 }
 
-/// A member could not be reached or gave no answer in time, or a file could not be written.
+/// Exit code if a member could not be reached, did not answer in time or could not run, or if a file could
+/// not be written.
 pub(super) const EXIT_FAILED: u8 = 1;
-/// A bad command line or operator file; nothing was changed.
+/// Exit code for an invalid command line or configuration file; nothing was changed. `clap` uses the same
+/// code.
 const EXIT_USAGE: u8 = 2;
-/// The member rejected the command.
+/// Exit code if the member rejected the command.
 const EXIT_REJECTED: u8 = 3;
 
 impl CommandError {
-    /// The exit code of a program that ends with this error.
+    /// Returns the exit code of the program for this error.
     pub(super) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::Runtime(_)
             | CommandError::Request(_)
             | CommandError::Record { .. }
             | CommandError::Sink(_) => EXIT_FAILED,
-            CommandError::File(_) | CommandError::NoTarget => EXIT_USAGE,
-            CommandError::Rejected(_) | CommandError::NoRolloutPart => EXIT_REJECTED,
+            CommandError::ConfigFile(_) | CommandError::NoTarget => EXIT_USAGE,
+            CommandError::Rejected(_) | CommandError::NotInRollout => EXIT_REJECTED,
         })
     }
 }
--- a/crates/member/src/cli/mod.rs
+++ b/crates/member/src/cli/mod.rs
@@ -1,7 +1,12 @@
-//! The `pinetrestle` program: `fleet` and its subcommands.
+//! The command line of the `pinetrestle` program, which has one group of subcommands: `fleet`.
 //!
-//! Exit codes: 0 done; 1 a member could not be reached or gave no answer in time, or a file could not be written; 2 a
-//! bad command line or operator file (nothing was changed); 3 the member rejected the command.
+//! Exit codes:
+//!
+//! - 0: success.
+//! - 1: the member could not be reached or did not answer in time, a member or task sink could not run, or a
+//!   file could not be written.
+//! - 2: the command line or the configuration file is invalid. Nothing was changed.
+//! - 3: the member rejected the command.
 
 mod arguments;
 mod error;
@@ -24,7 +29,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Runs the command that the program's arguments name.
+/// Parses the program's arguments, runs the command and returns the exit code.
 pub fn main() -> ExitCode {
     let CommandGroup::Fleet(command) = CommandLine::parse().group;
     let result = start_runtime().and_then(|runtime| {
@@ -83,12 +88,14 @@
     Ok(pinetrestle_operator::read(path)?)
 }
 
-/// The address that a file gives its own member.
+/// Returns the address of the member to which the configuration file belongs.
 fn own_address(config: &FleetConfig) -> SocketAddr {
-    config.address_of(config.id).unwrap_or_else(|| unreachable!("a validated file names its own member"))
+    config
+        .address_of(config.id)
+        .unwrap_or_else(|| unreachable!("a validated configuration contains its own member"))
 }
 
-/// Runs one member until it ends; what ends it is logged.
+/// Runs one member until its process ends or it fails. Failures are logged.
 async fn run_member(config: FleetConfig) -> ExitCode {
     let log = logging::logger(config.id);
     let listen = own_address(&config);
@@ -116,6 +123,7 @@
     }
 }
 
+/// Runs a stand-in task sink that writes its record to the file `record`, or to standard output.
 async fn run_sink(listen: SocketAddr, record: Option<PathBuf>) -> Result<(), CommandError> {
     let record: Box<dyn Write> = match record {
         Some(path) => {
--- a/crates/member/src/cli/output.rs
+++ b/crates/member/src/cli/output.rs
@@ -1,29 +1,30 @@
-//! What commands write to standard output.
+//! Prints the results of commands to standard output.
 
 use super::error::CommandError;
 use crate::status::Status;
 use crate::status_report::{Explanation, RecoveryReport, StatusTable};
 use serde::Serialize;
 
-/// How a status is printed.
+/// The form in which a member's status is printed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StatusForm {
-    /// As tables.
+    /// Tables, for `fleet status`.
     Table,
-    /// In sentences that explain it.
+    /// Sentences, for `fleet explain`.
     Explanation,
-    /// Its part on the recovery from a power loss, in sentences.
+    /// Sentences on the recovery from a power loss only, for `fleet recover`.
     Recovery,
 }
 
-/// Prints a status in a form, or as JSON; of [`StatusForm::Recovery`] the JSON holds its part only.
+/// Prints a member's status in the given form, or as JSON. For [`StatusForm::Recovery`], the JSON contains
+/// only the section on the recovery.
 ///
 /// # Errors
-/// When the recovery is to be printed and the member has no such part.
+/// [`CommandError::NotInRollout`] for [`StatusForm::Recovery`] if the status has no section on the recovery.
 pub(super) fn print_status(status: &Status, form: StatusForm, json: bool) -> Result<(), CommandError> {
     match form {
         StatusForm::Recovery => {
-            let recovery = status.recovery.as_ref().ok_or(CommandError::NoRolloutPart)?;
+            let recovery = status.recovery.as_ref().ok_or(CommandError::NotInRollout)?;
             if json {
                 print_json(recovery);
             } else {
@@ -37,15 +38,15 @@
     Ok(())
 }
 
-/// Prints that a member accepted a request.
+/// Prints that the member accepted the request.
 pub(super) fn print_accepted(json: bool) {
     println!("{}", if json { r#"{"taken":true}"# } else { "taken" });
 }
 
-/// Prints that the fleet has applied a command, or that it had `already`.
-pub(super) fn print_done(already: bool, json: bool) {
-    match (json, already) {
-        (true, _) => println!("{{\"done\":true,\"already\":{already}}}"),
+/// Prints that the fleet has applied the command, or that it changed nothing (`unchanged`).
+pub(super) fn print_done(unchanged: bool, json: bool) {
+    match (json, unchanged) {
+        (true, _) => println!("{{\"done\":true,\"already\":{unchanged}}}"),
         (false, true) => println!("it is so already"),
         (false, false) => println!("done"),
     }
--- a/crates/member/src/cli/request.rs
+++ b/crates/member/src/cli/request.rs
@@ -1,4 +1,4 @@
-//! Commands that are requests to a running member.
+//! Commands that send a request to a running member and print the response.
 
 use super::arguments::{RolloutOptions, Target};
 use super::error::CommandError;
@@ -10,17 +10,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests a member's status and prints it.
+/// Requests the status of a member and prints it in the given form.
 pub(super) async fn print_status(target: &Target, form: StatusForm) -> Result<(), CommandError> {
-    handle(target, Request::Status, form).await
+    send_and_print(target, Request::Status, form).await
 }
 
-/// Sends a request and prints its outcome.
+/// Sends a request and prints the response.
 pub(super) async fn send(target: &Target, request: Request) -> Result<(), CommandError> {
-    handle(target, request, StatusForm::Table).await
+    send_and_print(target, request, StatusForm::Table).await
 }
 
-/// Sends a command on drains and releases under its idempotency key, a new one unless it was given.
+/// Sends a command on drains and releases and prints the outcome. `command` creates it from its idempotency
+/// key, which is random unless the command line gives one.
 pub(super) async fn send_rollout(
     options: RolloutOptions,
     command: impl FnOnce(String) -> Command,
@@ -29,8 +30,8 @@
     send(&options.target, Request::Rollout(command(id))).await
 }
 
-async fn handle(target: &Target, request: Request, form: StatusForm) -> Result<(), CommandError> {
-    let address = resolve(target)?;
+async fn send_and_print(target: &Target, request: Request, form: StatusForm) -> Result<(), CommandError> {
+    let address = target_address(target)?;
     let response_timeout = Duration::from_secs(target.wait);
     let response =
         client::request(address, request, response_timeout).await.map_err(CommandError::Request)?;
@@ -49,8 +50,8 @@
     }
 }
 
-/// The address of the member that a command goes to.
-fn resolve(target: &Target) -> Result<SocketAddr, CommandError> {
+/// Returns the address of the member to which a command goes.
+fn target_address(target: &Target) -> Result<SocketAddr, CommandError> {
     match (target.at, &target.config) {
         (Some(address), _) => Ok(address),
         (None, Some(path)) => Ok(own_address(&read_config(path)?)),
--- a/crates/member/src/config/defaults.rs
+++ b/crates/member/src/config/defaults.rs
@@ -1,106 +1,106 @@
-//! What a key of the fleet file is taken to be where the file leaves it out.
+//! Default values of the configuration file's keys, named like the fields that they are for.
 
-/// Share of all units that may be away at once: no bound beyond the count.
+/// Maximum share of front nodes or index servers that are unavailable at once: no limit besides the number.
 pub(super) fn max_unavailable_share() -> f64 {
     1.0
 }
 
-/// Front nodes that go first in a release, alone.
+/// Number of front nodes that a release updates before all others.
 pub(super) fn canary_nodes() -> u32 {
     1
 }
 
-/// Steps that may fail before a release halts itself.
+/// Number of failed steps that a release tolerates before it is halted.
 pub(super) fn max_failed_steps() -> u32 {
     1
 }
 
-/// Share of failed queries a front node may show after its step.
+/// Maximum share of failed queries of a front node after its update.
 pub(super) fn max_failed_query_share() -> f64 {
     0.01
 }
 
-/// Milliseconds a step of a release may take.
+/// Maximum duration of a step of a release, in milliseconds.
 pub(super) fn step_timeout_ms() -> u64 {
     60_000
 }
 
-/// Milliseconds a front node serves after its step before it is judged.
+/// Milliseconds for which an updated front node serves before its health is checked.
 pub(super) fn settle_ms() -> u64 {
     5_000
 }
 
-/// Milliseconds without a message after which a member counts as unreachable.
+/// Milliseconds without a message from a member after which it counts as unreachable.
 pub(super) fn unreachable_after_ms() -> u64 {
     5_000
 }
 
-/// Stages in which a drained index server returns.
+/// Number of stages of the return of an index server.
 pub(super) fn ramp_stages() -> u32 {
     4
 }
 
-/// Milliseconds of one such stage.
+/// Duration of one stage of the return of an index server, in milliseconds.
 pub(super) fn ramp_stage_ms() -> u64 {
     5_000
 }
 
-/// Whether front nodes are admitted by waves after a power loss.
+/// Whether front nodes are admitted in waves after a power loss.
 pub(super) fn waves() -> bool {
     true
 }
 
-/// Milliseconds a wave lasts at least.
+/// Minimum duration of a wave, in milliseconds.
 pub(super) fn min_wave_ms() -> u64 {
     2_000
 }
 
-/// Milliseconds without a leader after which a front node is admitted by itself.
+/// Milliseconds without a leader after which a front node is admitted without a decision of the fleet.
 pub(super) fn standalone_after_ms() -> u64 {
     30_000
 }
 
-/// Milliseconds a front node may take to shut down.
+/// Maximum duration of the graceful shutdown of a front node, in milliseconds.
 pub(super) fn stop_timeout_ms() -> u64 {
     10_000
 }
 
-/// Milliseconds a front node may take to be ready.
+/// Maximum time from the start of a front node until it is ready, in milliseconds.
 pub(super) fn start_timeout_ms() -> u64 {
     30_000
 }
 
-/// Milliseconds between two polls of the front node.
+/// Interval between two polls of the front node, in milliseconds.
 pub(super) fn poll_interval_ms() -> u64 {
     100
 }
 
-/// Milliseconds of one tick of Raft.
+/// Duration of one Raft tick, in milliseconds.
 pub(super) fn tick_ms() -> u64 {
     50
 }
 
-/// Ticks without a message from a leader before a member stands for election.
+/// Raft ticks without a message from a leader after which a member starts an election.
 pub(super) fn election_ticks() -> usize {
     10
 }
 
-/// Ticks between a leader's heartbeats.
+/// Raft ticks between two heartbeats of a leader.
 pub(super) fn heartbeat_ticks() -> usize {
     2
 }
 
-/// Milliseconds of a lease.
+/// Duration of a lease, in milliseconds.
 pub(super) fn lease_ms() -> u64 {
     2_000
 }
 
-/// Milliseconds between two actions under a lease.
+/// Interval between two actions under a lease, in milliseconds.
 pub(super) fn action_interval_ms() -> u64 {
     50
 }
 
-/// Applied entries between two snapshots.
+/// Number of applied log entries between two snapshots.
 pub(super) fn snapshot_interval() -> u64 {
     1_000
 }
--- a/crates/member/src/config/file.rs
+++ b/crates/member/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The form of the fleet file.
+//! The keys of a member's configuration file.
 
 use super::defaults;
 use pinetrestle_fleet::MemberId;
@@ -8,53 +8,54 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Thousandths of a share of 1: budgets and judgements are agreed on in whole numbers.
+/// Factor from a share (0 to 1) in the file to thousandths. The fleet agrees on whole numbers only.
 const PER_MILLE: f64 = 1_000.0;
 
-/// The complete file, for one member (`id`) of the fleet (`peers`).
+/// The configuration of one member of the fleet: the whole file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Which of `peers` this member is.
+    /// The id of this member, which is one of those in `peers`.
     pub id: u64,
-    /// Every member of the fleet, this one too; the same list in every member's file.
+    /// All members of the fleet, including this one. The list has to be the same in every member's file.
     pub peers: Vec<Peer>,
-    /// The directory in which this member keeps its log and snapshot.
+    /// The directory for this member's Raft log and snapshot, and for its front node's output.
     pub data_dir: PathBuf,
-    /// Addresses to connect to instead of a peer's own, for example through a proxy.
+    /// Addresses to connect to instead of the peers' own ones, for example those of a proxy.
     #[serde(default)]
     pub dial: Vec<Peer>,
-    /// Milliseconds of one tick of Raft.
+    /// Duration of one Raft tick, in milliseconds.
     #[serde(default = "defaults::tick_ms")]
     pub tick_ms: u64,
-    /// Ticks without a message from a leader before a member stands for election.
+    /// Raft ticks without a message from a leader after which this member starts an election.
     #[serde(default = "defaults::election_ticks")]
     pub election_ticks: usize,
-    /// Ticks between a leader's heartbeats.
+    /// Raft ticks between two heartbeats while this member is the leader.
     #[serde(default = "defaults::heartbeat_ticks")]
     pub heartbeat_ticks: usize,
-    /// Milliseconds of a lease, as this member requests it.
+    /// Duration of the leases that this member requests, in milliseconds.
     #[serde(default = "defaults::lease_ms")]
     pub lease_ms: u64,
-    /// Tasks whose leases this member requests from its start.
+    /// The tasks whose leases this member requests as soon as it has started.
     #[serde(default)]
     pub tasks: Vec<String>,
-    /// The task sink to which actions under a lease are sent; none: actions are only logged.
+    /// The address of the task sink, which receives the actions that this member takes under leases. Without
+    /// one, actions are only logged.
     #[serde(default)]
     pub sink: Option<SocketAddr>,
-    /// Milliseconds between two actions under a lease.
+    /// Interval between two actions under a lease, in milliseconds.
     #[serde(rename = "act_ms", default = "defaults::action_interval_ms")]
     pub action_interval_ms: u64,
-    /// Applied entries after which a snapshot is taken and the log truncated.
+    /// Number of applied log entries after which a snapshot is taken and the log is truncated.
     #[serde(rename = "snapshot_every", default = "defaults::snapshot_interval")]
     pub snapshot_interval: u64,
-    /// Drains and releases; none: this member takes part in leases only.
+    /// Settings for drains and releases. Without them, this member takes part in leases only.
     #[serde(default)]
     pub rollout: Option<RolloutConfig>,
-    /// The return from a power loss; it needs `rollout`.
+    /// Settings for the recovery from a power loss. They are used only together with `rollout`.
     #[serde(default)]
     pub recovery: RecoveryConfig,
-    /// This member's own front node; none: it runs none.
+    /// The front node that this member runs, if any.
     #[serde(rename = "front", default)]
     pub front_node: Option<FrontNodeConfig>,
 }
@@ -63,78 +64,82 @@
 #[derive(Debug, Clone, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Its number, from 1, unique in the fleet.
+    /// The id of the member: unique in the fleet, and at least 1.
     pub id: u64,
-    /// The address it listens on for peers and commands.
+    /// The address on which the member accepts connections of its peers and of the `fleet` program.
     #[serde(rename = "addr")]
     pub address: SocketAddr,
-    /// Its zone, for budgets by zone.
+    /// The zone of the member's front node, for the limit per zone.
     #[serde(default)]
     pub zone: Option<String>,
 }
 
-/// Drains and releases, the same in every member's file; of different files the highest `revision` is agreed on.
+/// Settings for drains and releases, which have to be the same in every member's file. While the files
+/// differ, the fleet uses the settings with the highest `revision` that a leader has proposed.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutConfig {
-    /// Grows with each change of this part or of `peers`.
+    /// The revision of these settings. It has to be increased with each change of them or of `peers`.
     pub revision: u64,
-    /// Front nodes that may be away at once.
+    /// Limits on the front nodes that are unavailable at the same time.
     pub nodes: BudgetConfig,
-    /// Index servers that may be away at once.
+    /// Limits on the index servers that are unavailable at the same time.
     pub servers: BudgetConfig,
-    /// Front nodes that go first, alone.
+    /// Number of canaries: front nodes that a release updates before all others.
     #[serde(rename = "canary", default = "defaults::canary_nodes")]
     pub canary_nodes: u32,
-    /// Steps that may fail before a release halts itself.
+    /// Number of failed steps that a release tolerates before it is halted.
     #[serde(rename = "failures", default = "defaults::max_failed_steps")]
     pub max_failed_steps: u32,
-    /// Share of failed queries a front node may show after its step, 0 to 1.
+    /// Maximum share of failed queries of a front node after its update, from 0 to 1.
     #[serde(rename = "failed_share", default = "defaults::max_failed_query_share")]
     pub max_failed_query_share: f64,
-    /// Milliseconds a step may take.
+    /// Maximum duration of a step, which updates one front node, in milliseconds.
     #[serde(rename = "step_ms", default = "defaults::step_timeout_ms")]
     pub step_timeout_ms: u64,
-    /// Milliseconds a front node serves after its step before it is judged.
+    /// Milliseconds for which an updated front node serves before its health is checked.
     #[serde(default = "defaults::settle_ms")]
     pub settle_ms: u64,
-    /// Milliseconds without a message after which a member counts as unreachable.
+    /// Milliseconds without a message from a member after which it counts as unreachable.
     #[serde(rename = "lost_ms", default = "defaults::unreachable_after_ms")]
     pub unreachable_after_ms: u64,
-    /// Stages in which front nodes send to a returning index server.
+    /// Number of stages of the return of an index server: in stage i of n, i/n of the front nodes send to it.
     #[serde(default = "defaults::ramp_stages")]
     pub ramp_stages: u32,
-    /// Milliseconds of one such stage.
+    /// Duration of one stage of the return of an index server, in milliseconds.
     #[serde(rename = "ramp_ms", default = "defaults::ramp_stage_ms")]
     pub ramp_stage_ms: u64,
 }
 
-/// How many units (front nodes or index servers) may be away at once.
+/// Limits on the units (front nodes or index servers) that are unavailable at the same time. All of them
+/// apply.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetConfig {
-    /// Units away at once.
+    /// Maximum number of unavailable units.
     #[serde(rename = "most")]
     pub max_unavailable: u32,
-    /// Units away at once, as a share of all, 0 to 1; one may always go.
+    /// Maximum share of all units that are unavailable, from 0 to 1. One unit is always allowed.
     #[serde(rename = "share", default = "defaults::max_unavailable_share")]
     pub max_unavailable_share: f64,
-    /// Units away at once in one zone; none: no bound by zone.
+    /// Maximum number of unavailable units in one zone, if it is limited.
     #[serde(rename = "zone_most", default)]
     pub max_unavailable_per_zone: Option<u32>,
 }
 
-/// The return from a power loss.
+/// Settings for the recovery of the fleet from a power loss.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoveryConfig {
-    /// Whether front nodes are admitted by waves after a power loss; false: each as soon as it is up, as a baseline.
+    /// Whether front nodes are admitted in waves after a power loss. `false` admits each as soon as it is up,
+    /// which serves as a baseline for comparisons.
     #[serde(default = "defaults::waves")]
     pub waves: bool,
-    /// Milliseconds a wave lasts at least, for index servers to warm up.
+    /// Minimum duration of a wave, in which index servers warm up, in milliseconds.
     #[serde(rename = "warm_ms", default = "defaults::min_wave_ms")]
     pub min_wave_ms: u64,
-    /// Milliseconds without a leader after which a front node is admitted by itself, in safe mode.
+    /// Milliseconds without a leader after which this member starts its front node without a decision of the
+    /// fleet, in safe mode.
     #[serde(rename = "alone_ms", default = "defaults::standalone_after_ms")]
     pub standalone_after_ms: u64,
 }
@@ -149,27 +154,28 @@
     }
 }
 
-/// This member's own front node.
+/// The front node that a member runs.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FrontNodeConfig {
-    /// The address it listens on; it is polled there for its health and counters.
+    /// The address on which the front node listens, and on which it is polled for its readiness and counters.
     pub listen: SocketAddr,
-    /// The version to start where neither a running process nor the fleet names one.
+    /// The version to start if neither a running process nor the replicated state determines one.
     #[serde(rename = "version")]
     pub initial_version: String,
-    /// How to start each version.
+    /// How to start the front node, by version.
     pub versions: BTreeMap<String, LaunchConfig>,
-    /// Milliseconds it may take to shut down gracefully; then it is killed.
+    /// Maximum duration of a graceful shutdown, in milliseconds. After that, the front node is killed.
     #[serde(rename = "stop_ms", default = "defaults::stop_timeout_ms")]
     pub stop_timeout_ms: u64,
-    /// Milliseconds it may take to be ready.
+    /// Maximum time from a start until the front node is ready, in milliseconds.
     #[serde(rename = "start_ms", default = "defaults::start_timeout_ms")]
     pub start_timeout_ms: u64,
-    /// Milliseconds between two polls of its health and counters.
+    /// Interval between two polls of the readiness and counters, in milliseconds.
     #[serde(rename = "look_ms", default = "defaults::poll_interval_ms")]
     pub poll_interval_ms: u64,
-    /// The relay of the endpoint list, with the fleet's drains; none: the fleet drains no index servers for it.
+    /// The relay from which the front node receives its endpoint list. Without one, drains that the fleet
+    /// decides do not reach the front node.
     #[serde(default)]
     pub relay: Option<RelayConfig>,
 }
@@ -178,47 +184,53 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LaunchConfig {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Arguments of the program.
     #[serde(default)]
     pub args: Vec<String>,
-    /// Variables added to its environment, such as `RELAY_CONFIG`.
+    /// Environment variables that are set in addition to the member's own ones, such as `RELAY_CONFIG`.
     #[serde(default)]
     pub env: BTreeMap<String, String>,
-    /// Variables set in addition in safe mode, such as a `RELAY_CONFIG` with a lower `most_held`.
+    /// Environment variables that are set on top of `env` in safe mode, such as a `RELAY_CONFIG` whose file
+    /// has a lower `most_held`.
     #[serde(rename = "safe_env", default)]
     pub safe_mode_env: BTreeMap<String, String>,
 }
 
-/// The relay of the endpoint list to this member's front node: discovery's list, with the fleet's drains applied.
+/// The relay that serves discovery's endpoint list, with the fleet's drains applied, to this member's front
+/// node.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelayConfig {
-    /// The address the relay listens on; `discovery` in the front node's file.
+    /// The address on which the relay listens. The front node's configuration has it as the address of
+    /// discovery.
     pub listen: SocketAddr,
     /// The address of discovery.
     pub upstream: SocketAddr,
 }
 
 impl FleetConfig {
-    /// The address of member `id`; none where the fleet has no such member.
+    /// Returns the address of the member `id`, or `None` if it is not one of `peers`.
     pub fn address_of(&self, id: u64) -> Option<SocketAddr> {
         self.peers.iter().find(|peer| peer.id == id).map(|peer| peer.address)
     }
 
-    /// Where to connect to reach member `id`: its `dial` entry, else its own address.
+    /// Returns the address to connect to for the member `id`: that of its entry in `dial`, or else its own
+    /// one.
     pub fn dial_address_of(&self, id: u64) -> Option<SocketAddr> {
         let dial = self.dial.iter().find(|peer| peer.id == id).map(|peer| peer.address);
         dial.or_else(|| self.address_of(id))
     }
 
-    /// Milliseconds after which a follower that heard no leader stands for election.
+    /// Returns the election timeout: the milliseconds without a message from a leader after which a follower
+    /// starts an election.
     pub fn election_timeout_ms(&self) -> u64 {
         self.tick_ms * self.election_ticks as u64
     }
 
-    /// The plan of drains and releases that this file proposes, if it has a `rollout` part.
+    /// Returns the plan for drains and releases that this member proposes when it is the leader. `None`
+    /// without `rollout`.
     pub fn rollout_plan(&self) -> Option<Plan> {
         let rollout = self.rollout.as_ref()?;
         let nodes = self.peers.iter().map(|peer| (MemberId(peer.id), NodePlan { zone: peer.zone.clone() }));
@@ -240,6 +252,7 @@
 }
 
 impl BudgetConfig {
+    /// Converts the limits to the form in which the fleet agrees on them.
     fn budget(&self) -> Budget {
         Budget {
             max_unavailable: self.max_unavailable,
--- a/crates/member/src/config/mod.rs
+++ b/crates/member/src/config/mod.rs
@@ -1,8 +1,10 @@
-//! The fleet's operator file: who the members are, where each keeps its data, the times of Raft and leases, drains and
-//! releases, and this member's front node.
+//! The configuration file of a member, which operators write in JSON5: the members of the fleet, the data
+//! directory, the timing of Raft and leases, the settings for drains, releases and recovery, and this
+//! member's front node.
 //!
-//! The file's form is in `file`, the values of keys that are left out in `defaults`, the checks in `validation`. The
-//! keys of the file are the operators' and stay; where a field has another name here, the key is given beside it.
+//! `file` defines the keys, `defaults` the values of keys that are left out, and `validation` the checks that
+//! the deserializer does not make. Operators' files depend on the keys, so they do not change; a field with
+//! another name gives its key in a serde attribute.
 
 mod defaults;
 mod file;
--- a/crates/member/src/config/validation.rs
+++ b/crates/member/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! The checks of the fleet file beyond its form: ranges, and keys that contradict each other.
+//! Validates a member's configuration file: checks that values are in range and do not contradict each other.
 
 use super::{BudgetConfig, FleetConfig, FrontNodeConfig, RolloutConfig};
 use pinetrestle_fleet::{Task, MAX_MEMBERS, MAX_TASKS, MAX_TASK_NAME_BYTES, TTL_RANGE_MS};
@@ -7,24 +7,26 @@
 use std::fmt::Display;
 use std::ops::RangeInclusive;
 
-/// Milliseconds a tick of Raft may have.
+/// Allowed duration of a Raft tick, in milliseconds.
 const TICK_MS: RangeInclusive<u64> = 10..=1_000;
-/// Milliseconds between two actions under a lease.
+/// Allowed interval between two actions under a lease, in milliseconds.
 const ACTION_INTERVAL_MS: RangeInclusive<u64> = 10..=10_000;
-/// Applied entries between two snapshots.
+/// Allowed number of applied log entries between two snapshots.
 const SNAPSHOT_INTERVAL: RangeInclusive<u64> = 10..=1_000_000;
-/// A share of units or queries.
+/// Allowed share of front nodes, index servers or queries.
 const SHARE: RangeInclusive<f64> = 0.0..=1.0;
-/// Stages of an index server's return.
+/// Allowed number of stages of the return of an index server.
 const RAMP_STAGES: RangeInclusive<u32> = 1..=16;
-/// Milliseconds between two polls of the front node.
+/// Allowed interval between two polls of the front node, in milliseconds.
 const POLL_INTERVAL_MS: RangeInclusive<u64> = 20..=10_000;
-/// Least milliseconds for a front node to start, or to shut down.
-const MIN_START_STOP_MS: u64 = 1_000;
-/// Election timeouts that a lease, and the silence of a lost member, last at least: a change of leader takes one.
-const MIN_ELECTIONS_PER_LEASE: u64 = 2;
-/// Election timeouts without a leader that a front node waits at least before it is admitted by itself.
-const MIN_ELECTIONS_STANDALONE: u64 = 4;
+/// Minimum timeout for the start and for the shutdown of a front node, in milliseconds.
+const MIN_START_STOP_TIMEOUT_MS: u64 = 1_000;
+/// Minimum duration of a lease, and of the silence after which a member counts as unreachable, in election
+/// timeouts. Neither may run out during a change of leader, which takes one election timeout.
+const MIN_ELECTION_TIMEOUTS: u64 = 2;
+/// Minimum time without a leader after which a member starts its front node without a decision of the fleet,
+/// in election timeouts.
+const MIN_STANDALONE_ELECTION_TIMEOUTS: u64 = 4;
 
 impl Validate for FleetConfig {
     fn validate(&self) -> Result<(), ValidationError> {
@@ -38,8 +40,8 @@
             (None, None) => Ok(()),
             (None, Some(_)) => Err(ValidationError::new(
                 "front",
-                "stands without rollout",
-                "say what may be away under rollout",
+                "requires rollout",
+                "add rollout with the limits for nodes and servers",
             )),
         }
     }
@@ -50,8 +52,8 @@
         if self.peers.is_empty() || self.peers.len() > MAX_MEMBERS {
             return Err(ValidationError::new(
                 "peers",
-                "names no member or too many",
-                format!("name 1 to {MAX_MEMBERS}"),
+                "has no members or too many",
+                format!("list 1 to {MAX_MEMBERS} members"),
             ));
         }
         for index in 0..self.peers.len() {
@@ -61,15 +63,15 @@
             return Err(ValidationError::new(
                 "id",
                 format!("{} is not among the peers", self.id),
-                "name one of peers[].id",
+                "use one of peers[].id",
             ));
         }
         let is_other_peer = |id: u64| id != self.id && self.address_of(id).is_some();
         if let Some(index) = self.dial.iter().position(|dial| !is_other_peer(dial.id)) {
             return Err(ValidationError::new(
                 format!("dial[{index}].id"),
-                "names no other peer",
-                "name one of peers[].id but id",
+                "is not the id of another peer",
+                "use one of peers[].id other than id",
             ));
         }
         Ok(())
@@ -78,7 +80,11 @@
     fn validate_peer(&self, index: usize) -> Result<(), ValidationError> {
         let peer = &self.peers[index];
         if peer.id == 0 {
-            return Err(ValidationError::new(format!("peers[{index}].id"), "is 0", "number members from 1"));
+            return Err(ValidationError::new(
+                format!("peers[{index}].id"),
+                "is 0",
+                "number the members from 1",
+            ));
         }
         let is_same = |other: &super::Peer| other.id == peer.id || other.address == peer.address;
         if let Some(earlier) = self.peers[..index].iter().position(is_same) {
@@ -96,16 +102,16 @@
         if self.heartbeat_ticks == 0 || self.election_ticks <= 2 * self.heartbeat_ticks {
             return Err(ValidationError::new(
                 "election_ticks",
-                "is not over twice heartbeat_ticks",
+                "is not greater than twice heartbeat_ticks",
                 "write election_ticks 10 and heartbeat_ticks 2",
             ));
         }
-        let min_lease_ms = MIN_ELECTIONS_PER_LEASE * self.election_timeout_ms();
+        let min_lease_ms = MIN_ELECTION_TIMEOUTS * self.election_timeout_ms();
         if !TTL_RANGE_MS.contains(&self.lease_ms) || self.lease_ms < min_lease_ms {
             return Err(ValidationError::new(
                 "lease_ms",
                 format!(
-                    "is outside {}..={} ms or under two election times",
+                    "is outside {}..={} ms or shorter than two election timeouts",
                     TTL_RANGE_MS.start(),
                     TTL_RANGE_MS.end()
                 ),
@@ -117,7 +123,11 @@
 
     fn validate_tasks(&self) -> Result<(), ValidationError> {
         if self.tasks.len() > MAX_TASKS {
-            return Err(ValidationError::new("tasks", "names too many", format!("name at most {MAX_TASKS}")));
+            return Err(ValidationError::new(
+                "tasks",
+                "has too many entries",
+                format!("list at most {MAX_TASKS}"),
+            ));
         }
         if let Some(index) = self.tasks.iter().position(|task| !Task::is_valid_name(task)) {
             return Err(ValidationError::new(
@@ -136,25 +146,29 @@
             "rollout.failed_share",
             &rollout.max_failed_query_share,
             &SHARE,
-            "write a share, as 0.01",
+            "write a share such as 0.01",
         )?;
         if rollout.canary_nodes as usize > self.peers.len() {
-            return Err(ValidationError::new("rollout.canary", "is more than there are peers", "write 1"));
+            return Err(ValidationError::new(
+                "rollout.canary",
+                "is greater than the number of peers",
+                "write 1",
+            ));
         }
         require_in("rollout.ramp_stages", &rollout.ramp_stages, &RAMP_STAGES, "write 4")?;
-        let min_lost_ms = MIN_ELECTIONS_PER_LEASE * self.election_timeout_ms();
-        if rollout.unreachable_after_ms < min_lost_ms {
+        let min_unreachable_ms = MIN_ELECTION_TIMEOUTS * self.election_timeout_ms();
+        if rollout.unreachable_after_ms < min_unreachable_ms {
             return Err(ValidationError::new(
                 "rollout.lost_ms",
-                "is under two election times: a change of leader would call members lost",
-                format!("write at least {min_lost_ms}"),
+                "is shorter than two election timeouts: a change of leader would make members unreachable",
+                format!("write at least {min_unreachable_ms}"),
             ));
         }
         if rollout.step_timeout_ms <= rollout.settle_ms {
             return Err(ValidationError::new(
                 "rollout.step_ms",
-                "is not over settle_ms, which each step takes",
-                format!("write at least {}", proposed_step_timeout_ms(rollout.settle_ms)),
+                "is not longer than settle_ms, which is only a part of each step",
+                format!("write at least {}", suggested_step_timeout_ms(rollout.settle_ms)),
             ));
         }
         self.validate_recovery()?;
@@ -165,11 +179,11 @@
     }
 
     fn validate_recovery(&self) -> Result<(), ValidationError> {
-        let min_standalone_ms = MIN_ELECTIONS_STANDALONE * self.election_timeout_ms();
+        let min_standalone_ms = MIN_STANDALONE_ELECTION_TIMEOUTS * self.election_timeout_ms();
         if self.recovery.standalone_after_ms < min_standalone_ms {
             return Err(ValidationError::new(
                 "recovery.alone_ms",
-                "is under four election times: a change of leader would look like no fleet",
+                "is shorter than four election timeouts: a change of leader could start safe mode",
                 format!("write at least {min_standalone_ms}"),
             ));
         }
@@ -178,16 +192,21 @@
 }
 
 impl BudgetConfig {
-    /// `key` is the budget's own key.
+    /// Validates the limits. `key` is the path of their object in the file, for the error.
     fn validate(&self, key: &str) -> Result<(), ValidationError> {
         if self.max_unavailable == 0 {
             return Err(ValidationError::new(
                 format!("{key}.most"),
-                "is 0: nothing could ever go",
+                "is 0, which would never allow a drain or an update",
                 "write at least 1",
             ));
         }
-        require_in(&format!("{key}.share"), &self.max_unavailable_share, &SHARE, "write a share, as 0.2")?;
+        require_in(
+            &format!("{key}.share"),
+            &self.max_unavailable_share,
+            &SHARE,
+            "write a share such as 0.2",
+        )?;
         if self.max_unavailable_per_zone == Some(0) {
             return Err(ValidationError::new(
                 format!("{key}.zone_most"),
@@ -201,8 +220,8 @@
 
 impl FrontNodeConfig {
     fn validate(&self) -> Result<(), ValidationError> {
-        let is_bad_name = |name: &str| name.is_empty() || name.len() > MAX_NAME_BYTES;
-        if let Some(name) = self.versions.keys().find(|name| is_bad_name(name)) {
+        let is_invalid_name = |name: &str| name.is_empty() || name.len() > MAX_NAME_BYTES;
+        if let Some(name) = self.versions.keys().find(|name| is_invalid_name(name)) {
             return Err(ValidationError::new(
                 format!("front.versions.{name}"),
                 "has an empty or too long name",
@@ -213,27 +232,35 @@
             return Err(ValidationError::new(
                 "front.version",
                 format!("{:?} is not among front.versions", self.initial_version),
-                "name one of them, or add it there",
+                "use one of them, or add this version",
             ));
         }
         require_in("front.look_ms", &self.poll_interval_ms, &POLL_INTERVAL_MS, "write 100")?;
-        require_min_start_stop("front.start_ms", self.start_timeout_ms)?;
-        require_min_start_stop("front.stop_ms", self.stop_timeout_ms)
+        require_min_start_stop_timeout("front.start_ms", self.start_timeout_ms)?;
+        require_min_start_stop_timeout("front.stop_ms", self.stop_timeout_ms)
     }
 }
 
-/// The step timeout to write where the file's is too short: several times what a step waits at least.
-fn proposed_step_timeout_ms(settle_ms: u64) -> u64 {
+/// Returns the step timeout that is suggested if the one in the file is too short: several times the minimum
+/// duration of a step, which is `settle_ms`, and at least 4 s.
+fn suggested_step_timeout_ms(settle_ms: u64) -> u64 {
     4 * settle_ms.max(1_000)
 }
 
-fn require_min_start_stop(key: &str, milliseconds: u64) -> Result<(), ValidationError> {
-    if milliseconds < MIN_START_STOP_MS {
-        return Err(ValidationError::new(key, format!("is under {MIN_START_STOP_MS}"), "write 10000"));
+/// Requires a timeout for the start or shutdown of the front node to be at least
+/// [`MIN_START_STOP_TIMEOUT_MS`].
+fn require_min_start_stop_timeout(key: &str, milliseconds: u64) -> Result<(), ValidationError> {
+    if milliseconds < MIN_START_STOP_TIMEOUT_MS {
+        return Err(ValidationError::new(
+            key,
+            format!("is less than {MIN_START_STOP_TIMEOUT_MS}"),
+            "write 10000",
+        ));
     }
     Ok(())
 }
 
+/// Requires a value to be in a range. `remedy` tells the operator what to write instead.
 fn require_in<T: PartialOrd + Display>(
     key: &str,
     value: &T,
--- a/crates/member/src/status_report/explanation.rs
+++ b/crates/member/src/status_report/explanation.rs
@@ -1,4 +1,4 @@
-//! The status in sentences: `fleet explain`.
+//! The sentences that `fleet explain` prints.
 
 use super::RecoveryReport;
 use crate::status::{
@@ -6,8 +6,8 @@
 };
 use std::fmt::{self, Display, Formatter};
 
-/// Why each task that a member knows of is held by whom it is, or waits, and why a release or a drain has not gone
-/// further.
+/// Explains a member's status: who holds the lease on each task, and why a task has no holder; why front
+/// nodes wait for a release, for the recovery from a power loss, or count as away; and how far drains are.
 pub struct Explanation<'a>(pub &'a Status);
 
 impl Display for Explanation<'_> {
@@ -15,7 +15,7 @@
         let status = self.0;
         if status.leader == 0 {
             write!(out, "member {} knows no leader: no lease is granted, renewed or ended ", status.id)?;
-            writeln!(out, "until a majority of {} elects one.", status.members.len())?;
+            writeln!(out, "until a majority of the {} members elects one.", status.members.len())?;
         }
         for own_task in &status.own_tasks {
             explain_own_task(out, status, own_task)?;
@@ -37,48 +37,57 @@
     }
 }
 
-/// A task that this member wants or holds, or wanted before.
+/// Explains the lease on a task that this member wants or holds, or wanted before.
 fn explain_own_task(out: &mut Formatter<'_>, status: &Status, own_task: &OwnTaskView) -> fmt::Result {
     let task = &own_task.task;
     let Some(lease) = status.leases.iter().find(|lease| lease.task == *task) else {
         return if own_task.wanted {
-            writeln!(out, "{task}: free; this member is {}.", own_task.state)
+            writeln!(out, "{task}: held by no member; the state of this member is: {}.", own_task.state)
         } else {
-            writeln!(out, "{task}: free, and not wanted here.")
+            writeln!(out, "{task}: held by no member, and not wanted by this member.")
         };
     };
     let token = lease.token;
     if lease.holder != status.id {
-        let wish = if own_task.wanted { "waits" } else { "does not want it" };
         write!(out, "{task}: held by member {} under token {token}; ", lease.holder)?;
-        return writeln!(out, "this member {wish} and asks again when it ends, or after a lease.");
+        return if own_task.wanted {
+            writeln!(out, "this member requests it when that lease ends, or after the duration of a lease.")
+        } else {
+            writeln!(out, "this member does not want it.")
+        };
     }
     match own_task.may_act_ms {
         Some(may_act_ms) => {
             writeln!(
                 out,
-                "{task}: held here under token {token}; may act {may_act_ms} ms more unless renewed."
+                "{task}: held by this member under token {token}; may act for {may_act_ms} ms unless renewed."
             )
         }
         None => {
-            write!(out, "{task}: the table names this member under token {token}, ")?;
-            writeln!(out, "but its own lease time ran out; it acts no more and asks anew.")
+            write!(out, "{task}: the lease table names this member as holder under token {token}, ")?;
+            writeln!(
+                out,
+                "but by its own clock the lease has run out; it no longer acts and requests a new lease."
+            )
         }
     }
 }
 
-/// A lease on a task that this member has no part in.
+/// Explains the lease on a task that this member has never wanted since its start.
 fn explain_foreign_lease(out: &mut Formatter<'_>, lease: &LeaseView) -> fmt::Result {
     write!(out, "{}: held by member {} under token {}", lease.task, lease.holder, lease.token)?;
     if let Some(remaining_ms) = lease.remaining_ms {
-        write!(out, "; the leader ends it in {remaining_ms} ms without renewal")?;
+        write!(out, "; without renewal, the leader ends it in {remaining_ms} ms")?;
     }
     writeln!(out, ".")
 }
 
 fn explain_rollout(out: &mut Formatter<'_>, rollout: &RolloutView) -> fmt::Result {
     if let Some(HaltView { id, reason }) = &rollout.halt {
-        writeln!(out, "All is halted ({id}): {reason}. No step begins until `resume` or `rollback`.")?;
+        writeln!(
+            out,
+            "Releases and drains are halted ({id}): {reason}. No step begins until `resume` or `rollback`."
+        )?;
     }
     if let Some(release) = &rollout.release {
         explain_release(out, release, &rollout.nodes)?;
@@ -97,15 +106,18 @@
     if stage != "running" {
         return writeln!(out, "Release {id} is {stage}.");
     }
-    let version = if direction == "back" { &release.from } else { &release.to };
-    writeln!(out, "Release {id} goes {direction} to {version}.")?;
+    if direction == "back" {
+        writeln!(out, "Release {id} is being rolled back to {}.", release.from)?;
+    } else {
+        writeln!(out, "Release {id} updates the front nodes to {}.", release.to)?;
+    }
     for node in nodes {
         explain_step(out, node)?;
     }
     Ok(())
 }
 
-/// Why a front node's step has not ended; nothing where there is nothing to explain.
+/// Explains why a front node's step has not ended. Writes nothing if the step passed or there is none.
 fn explain_step(out: &mut Formatter<'_>, node: &NodeView) -> fmt::Result {
     let id = node.id;
     if let Some(reason) = &node.blocked_by {
@@ -113,20 +125,21 @@
     }
     match node.slot {
         Some(SlotView { index, begun: true }) => {
-            writeln!(out, "Front node {id} is on its way (slot {index}).")
+            writeln!(out, "Front node {id} is being updated (slot {index}).")
         }
         Some(SlotView { index, begun: false }) => {
-            writeln!(out, "Front node {id} may go, its agent has not begun (slot {index}).")
+            writeln!(out, "Front node {id} may be updated, but its agent has not begun (slot {index}).")
         }
         None if node.step.starts_with("failed") => writeln!(out, "Front node {id} {}.", node.step),
         None => Ok(()),
     }
 }
 
-/// Why a front node counts as away.
+/// Returns why a front node counts as away, which means that it counts against the limit on unavailable front
+/// nodes.
 fn reason_away(node: &NodeView) -> &'static str {
     if node.lost {
-        "its member is not heard"
+        "its member sends no heartbeats"
     } else if node.slot.is_some() {
         "it holds a slot"
     } else if !node.ready {
@@ -136,13 +149,13 @@
     }
 }
 
-/// An index server that counts as away; `nodes` is the number of front nodes to be notified of a drain.
+/// Explains an index server that counts as away. `nodes` is the number of front nodes to notify of a drain.
 fn explain_server(out: &mut Formatter<'_>, server: &ServerView, nodes: usize) -> fmt::Result {
     let ServerView { name, phase, notified, .. } = server;
     write!(out, "Index server {name} counts as away: {phase}")?;
     match phase.as_str() {
         "draining" => write!(out, "; {notified} of {nodes} front nodes have been notified")?,
-        "drained" => write!(out, "; every front node has been notified, it may be stopped")?,
+        "drained" => write!(out, "; every front node has been notified, so it may be stopped")?,
         _ => {}
     }
     writeln!(out, ".")
--- a/crates/member/src/status_report/mod.rs
+++ b/crates/member/src/status_report/mod.rs
@@ -1,6 +1,7 @@
-//! A member's status for people: a table, sentences that explain it, and the fleet's recovery from a power loss.
+//! Formats a member's status for operators: as tables, as sentences that explain it, or as a report on the
+//! fleet's recovery from a power loss.
 //!
-//! Each report is a borrowed view that writes itself with [`std::fmt::Display`], lines ended by line feeds.
+//! Each report borrows the status and implements [`std::fmt::Display`]. Each line ends with a line feed.
 
 mod explanation;
 mod recovery_report;
--- a/crates/member/src/status_report/table.rs
+++ b/crates/member/src/status_report/table.rs
@@ -1,14 +1,15 @@
-//! The status as tables: `fleet status`.
+//! The tables that `fleet status` prints.
 
 use crate::status::{
     LeaseView, NodeView, OwnTaskView, RecoveryView, ReleaseView, RolloutView, ServerView, SlotView, Status,
 };
 use std::fmt::{self, Display, Formatter};
 
-/// What a cell holds where there is nothing to say.
-const NOTHING: &str = "-";
+/// The text of an empty table cell.
+const EMPTY_CELL: &str = "-";
 
-/// A member's status as tables.
+/// Formats a member's status as tables. Sections other than the member and the leases are left out if the
+/// status has nothing for them.
 pub struct StatusTable<'a>(pub &'a Status);
 
 impl Display for StatusTable<'_> {
@@ -42,7 +43,7 @@
     writeln!(out, "\n{:<24} {:>6} {:>8} {:>8} {:>9}", "TASK", "HOLDER", "TOKEN", "RENEWED", "LEFT_MS")?;
     for lease in leases {
         let LeaseView { task, holder, token, renewals, .. } = lease;
-        let remaining = or_nothing(lease.remaining_ms);
+        let remaining = duration_cell(lease.remaining_ms);
         writeln!(out, "{task:<24} {holder:>6} {token:>8} {renewals:>8} {remaining:>9}")?;
     }
     Ok(())
@@ -52,7 +53,7 @@
     writeln!(out, "\n{:<24} {:>5} {:<26} {:>9}", "THIS MEMBER", "WANTS", "STATE", "ACTING_MS")?;
     for own_task in tasks {
         let OwnTaskView { task, wanted, state, .. } = own_task;
-        let may_act = or_nothing(own_task.may_act_ms);
+        let may_act = duration_cell(own_task.may_act_ms);
         writeln!(out, "{task:<24} {wanted:>5} {state:<26} {may_act:>9}")?;
     }
     Ok(())
@@ -75,7 +76,7 @@
 
 fn write_rollout_summary(out: &mut Formatter<'_>, rollout: &RolloutView) -> fmt::Result {
     let last_good = match rollout.last_good_version.as_str() {
-        "" => NOTHING,
+        "" => EMPTY_CELL,
         version => version,
     };
     let nodes_away = rollout.nodes.iter().filter(|node| node.away).count();
@@ -102,7 +103,7 @@
         };
         let away = if node.away { "yes" } else { "no" };
         let slot = match node.slot {
-            None => NOTHING.to_owned(),
+            None => EMPTY_CELL.to_owned(),
             Some(SlotView { index, begun: true }) => format!("{index} begun"),
             Some(SlotView { index, begun: false }) => index.to_string(),
         };
@@ -127,6 +128,7 @@
     writeln!(out, "  this front node {}", recovery.admission)
 }
 
-fn or_nothing(milliseconds: Option<u64>) -> String {
-    milliseconds.map_or(NOTHING.to_owned(), |milliseconds| milliseconds.to_string())
+/// Formats a duration in milliseconds for a table cell.
+fn duration_cell(milliseconds: Option<u64>) -> String {
+    milliseconds.map_or(EMPTY_CELL.to_owned(), |milliseconds| milliseconds.to_string())
 }
--- a/crates/member/tests/config.rs
+++ b/crates/member/tests/config.rs
@@ -1,21 +1,23 @@
-//! The fleet's operator file: the example is accepted; an invalid file is rejected with file, line, key and remedy.
+//! A member's configuration file: the example is valid, each key is read into its field, keys that are left
+//! out have their defaults, and an invalid file is rejected with the file, line, key and remedy.
 
 use pinetrestle_member::config::FleetConfig;
 use pinetrestle_operator::FileError;
 use std::path::Path;
 
+/// The example of a member's configuration file.
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.example.json5");
 
 #[test]
-fn the_example_is_accepted() {
+fn the_example_is_valid() {
     let file: FleetConfig = pinetrestle_operator::read(Path::new(EXAMPLE)).unwrap();
     assert_eq!((file.id, file.peers.len(), file.lease_ms, file.election_timeout_ms()), (1, 3, 2_000, 500));
 }
 
-/// The message of the error that the example gives with one text replaced by another.
-fn rejection_with(from: &str, to: &str) -> String {
+/// Returns the error message for the example with `from` replaced by `to`.
+fn error_with(from: &str, to: &str) -> String {
     let text = std::fs::read_to_string(EXAMPLE).unwrap();
-    assert!(text.contains(from), "the example has no {from:?}");
+    assert!(text.contains(from), "the example does not contain {from:?}");
     let text = text.replace(from, to);
     pinetrestle_operator::parse::<FleetConfig>(Path::new("fleet.json5"), &text).unwrap_err().to_string()
 }
@@ -23,26 +25,27 @@
 #[test]
 fn an_invalid_file_is_rejected_with_line_key_and_remedy() {
     assert_eq!(
-        rejection_with("lease_ms: 2000", "lease_ms: 600"),
-        "fleet.json5:28: lease_ms is outside 200..=60000 ms or under two election times; write at least 1000"
+        error_with("lease_ms: 2000", "lease_ms: 600"),
+        "fleet.json5:28: lease_ms is outside 200..=60000 ms or shorter than two election timeouts; \
+         write at least 1000"
     );
     assert_eq!(
-        rejection_with("  id: 1,", "  id: 9,"),
-        "fleet.json5:7: id 9 is not among the peers; name one of peers[].id"
+        error_with("  id: 1,", "  id: 9,"),
+        "fleet.json5:7: id 9 is not among the peers; use one of peers[].id"
     );
     let duplicate =
-        rejection_with(r#"{ id: 3, addr: "127.0.0.1:7103" }"#, r#"{ id: 2, addr: "127.0.0.1:7109" }"#);
+        error_with(r#"{ id: 3, addr: "127.0.0.1:7103" }"#, r#"{ id: 2, addr: "127.0.0.1:7109" }"#);
     assert!(
         duplicate.starts_with("fleet.json5:13: peers[2] has the id or address of peers[1]"),
         "{duplicate}"
     );
-    let unknown = rejection_with("act_ms: 50", "act_every: 50");
+    let unknown = error_with("act_ms: 50", "act_every: 50");
     assert!(unknown.starts_with("fleet.json5:37: act_every"), "{unknown}");
-    let dial = rejection_with("// dial: [ { id: 2,", "dial: [ { id: 7,");
-    assert!(dial.contains("dial[0].id names no other peer"), "{dial}");
+    let dial = error_with("// dial: [ { id: 2,", "dial: [ { id: 7,");
+    assert!(dial.contains("dial[0].id is not the id of another peer"), "{dial}");
 }
 
-/// Parses a file that has these keys besides the required ones.
+/// Parses a file with the required keys and these additional ones.
 fn parse_with(keys: &str) -> Result<FleetConfig, FileError> {
     let text = format!(
         "{{\n  id: 1,\n  peers: [{{ id: 1, addr: \"127.0.0.1:1\" }}, {{ id: 2, addr: \"127.0.0.1:2\" }}],\n  data_dir: \"d\",\n{keys}\n}}"
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn an_invalid_rollout_part_is_rejected_with_line_and_key() {
+fn invalid_rollout_recovery_and_front_sections_are_rejected_with_line_and_key() {
     let budget = "nodes: { most: 1 }, servers: { most: 1 }";
     let front = "listen: \"127.0.0.1:3\", versions: { v1: { program: \"p\" } }";
     for (keys, line, key) in [
@@ -80,12 +83,12 @@
         assert!(error.contains(&format!("f.json5:{line}: {key}")), "{key}: {error}");
     }
     let standalone = format!("  rollout: {{ revision: 1, {budget} }},\n  recovery: {{ alone_ms: 900 }}");
-    let error = parse_with(&standalone).expect_err("too short").to_string();
+    let error = parse_with(&standalone).expect_err("alone_ms is too short").to_string();
     assert!(error.contains("f.json5:6: recovery.alone_ms"), "{error}");
     assert!(parse_with(&format!("  rollout: {{ revision: 1, {budget} }}")).is_ok());
 }
 
-/// The operators' keys stay, whatever the fields are called here.
+/// Operators' files depend on the keys, so a renamed field must keep its key.
 #[test]
 fn every_key_of_the_file_is_read_into_its_field() {
     let file = parse_with(
@@ -149,7 +152,7 @@
 }
 
 #[test]
-fn keys_left_out_have_their_documented_defaults() {
+fn keys_that_are_left_out_have_their_documented_defaults() {
     let file = parse_with(
         r#"
         rollout: { revision: 1, nodes: { most: 1 }, servers: { most: 1 } },
--- a/crates/member/tests/inside/relay.rs
+++ b/crates/member/tests/inside/relay.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as the relay passes it on.
+//! Unit tests of the relay: the drains and watch events that it applies to the endpoint list, and its watch
+//! of discovery.
 
 use super::discovery_watch::{self, ListPublisher, SILENCE_TIMEOUT};
 use super::endpoint_list::{apply_watch_event, snapshot_line, with_drains};
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn a_drained_server_is_listed_as_draining_and_one_that_is_not_up_is_unchanged() {
+fn a_drain_changes_the_status_of_servers_that_are_up_only() {
     let list = [entry("s0", "up"), entry("s1", "draining"), entry("s2", "up")];
     let drained = ["s0", "s1"].map(String::from).into();
     let relayed: Vec<Value> = with_drains(&list, &drained);
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn watch_events_change_the_list_and_other_text_is_rejected() {
+fn watch_events_are_applied_to_the_list_and_other_text_is_rejected() {
     let mut list = BTreeMap::new();
     let snapshot = snapshot_line(&[entry("s0", "up"), entry("s1", "up")], 1);
     assert!(apply_watch_event(snapshot.as_bytes(), &mut list).is_ok());
@@ -36,13 +37,14 @@
     assert!(apply_watch_event(b"{\"index\": 1}", &mut list).is_err());
 }
 
-/// Watches discovery for a while; the names in the list published at its end, none while no list is published.
+/// Watches discovery for `duration`. Returns the names in the list that is published at the end, or `None` if
+/// no list is published then.
 async fn names_after_watching(discovery: &Discovery, duration: Duration) -> Option<Vec<String>> {
     let (upstream, list) = watch::channel(None);
     let (discovered, _discovered) = watch::channel(None);
     let publisher = ListPublisher { upstream, discovered };
     let log = Logger::root(slog::Discard, slog::o!());
-    // It never ends by itself.
+    // The watch task does not end, so the timeout always applies.
     let _ = tokio::time::timeout(duration, discovery_watch::run(discovery.address, publisher, log)).await;
     let names = |list: &Rc<Vec<Value>>| {
         list.iter().filter_map(|entry| entry["name"].as_str()).map(String::from).collect()
@@ -52,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn an_indented_list_is_accepted() {
+async fn a_list_that_spans_several_lines_is_accepted() {
     let discovery = Discovery::start(vec![entry("s0", "up"), entry("s1", "up")]);
     discovery.set_behavior(DiscoveryBehavior::Indented);
     let names = LocalSet::new().run_until(names_after_watching(&discovery, Duration::from_millis(500))).await;
@@ -60,11 +62,11 @@
 }
 
 #[tokio::test]
-async fn a_watch_that_sends_single_bytes_only_is_given_up() {
+async fn the_list_is_withdrawn_if_the_watch_sends_only_single_bytes() {
     let discovery = Discovery::start(vec![entry("s0", "up")]);
     let fault = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        // The open watch sends single bytes, and no further request is answered.
+        // The open watch sends single bytes only, and discovery answers no further request.
         discovery.set_behavior(DiscoveryBehavior::Silent);
         discovery.fail_watches(WatchFault::Trickling);
     };
--- a/crates/member/tests/one_member.rs
+++ b/crates/member/tests/one_member.rs
@@ -1,5 +1,5 @@
-//! One member under faults of its machine: a full disk, an address in use. It starts or recovers by itself once the fault is
-//! over; while its disk is full it rejects requests.
+//! A fleet of one member under faults of its machine: a full disk, and an address that is in use. The member
+//! starts or recovers without a restart once the fault is over. While its disk is full, it rejects requests.
 
 mod common;
 
@@ -11,10 +11,10 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The longest wait for a condition.
-const BOUND: Duration = Duration::from_secs(20);
+/// Maximum time to wait for a condition.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// A member's process, killed with the test.
+/// The process of a member, which is killed when the value is dropped.
 struct MemberProcess(Child);
 
 impl Drop for MemberProcess {
@@ -32,20 +32,22 @@
     matches!(request_status(addr).await, Some(Response::Status(status)) if status.leader == 1)
 }
 
-/// Waits until the condition holds; the member has to be alive meanwhile.
+/// Waits until the condition is true. Panics if that takes longer than [`WAIT_LIMIT`], or if the member's
+/// process ends.
 macro_rules! wait_until {
     ($what:literal, $member:expr, $condition:expr) => {
-        let end = Instant::now() + BOUND;
+        let end = Instant::now() + WAIT_LIMIT;
         while !$condition {
-            assert!(Instant::now() < end, "never came about: {}", $what);
-            let ended = $member.0.try_wait().expect("it can be asked");
-            assert!(ended.is_none(), "the member has ended while waiting for: {}: {ended:?}", $what);
+            assert!(Instant::now() < end, "timed out while waiting until {}", $what);
+            let ended = $member.0.try_wait().expect("can query the process");
+            assert!(ended.is_none(), "the member has ended while waiting until {}: {ended:?}", $what);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
 }
 
-/// Starts the only member of a fleet at this address, with its data in `dir`, after the shell commands in `prelude`.
+/// Starts the only member of a fleet on `addr`, with its data in `dir`, from a shell that runs `prelude`
+/// first.
 fn start(dir: &Path, addr: SocketAddr, prelude: &str) -> MemberProcess {
     let file = dir.join("m1.json5");
     let text = format!(
@@ -53,7 +55,7 @@
          heartbeat_ticks: 2, lease_ms: 1000, tasks: [\"rebuild-index\"], act_ms: 20, snapshot_every: 100000 }}",
         dir.join("data").display()
     );
-    std::fs::write(&file, text).expect("written");
+    std::fs::write(&file, text).expect("can write the file");
     let program = env!("CARGO_BIN_EXE_pinetrestle");
     let line = format!("{prelude} exec {program} fleet up --config {}", file.display());
     let child = Command::new("/bin/sh")
@@ -62,24 +64,24 @@
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
-        .expect("it starts");
+        .expect("can start the shell");
     MemberProcess(child)
 }
 
-/// Lifts the limit on the size of the member's files.
-fn lift_file_limit(member: &MemberProcess) {
+/// Removes the limit on the size of the files that the member writes.
+fn remove_file_size_limit(member: &MemberProcess) {
     let pid = member.0.id().to_string();
-    let lifted = Command::new("prlimit").args(["--pid", &pid, "--fsize=unlimited"]).status();
-    assert!(lifted.expect("prlimit runs").success());
+    let status = Command::new("prlimit").args(["--pid", &pid, "--fsize=unlimited"]).status();
+    assert!(status.expect("can run prlimit").success());
 }
 
 #[tokio::test]
 async fn member_starts_once_its_address_is_free() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("can create a temporary directory");
     let held = reserve_ports(30_000 + u64::from(std::process::id()) % 1000, 1);
     let addr = held[0].1;
     let mut member = start(dir.path(), addr, "");
-    // Longer than the program takes to its first attempt.
+    // Longer than the program takes until its first attempt to bind the address.
     tokio::time::sleep(Duration::from_millis(1000)).await;
     drop(held);
     wait_until!("it leads", member, is_leader(addr).await);
@@ -87,32 +89,33 @@
 
 #[tokio::test]
 async fn member_with_a_full_disk_steps_down_and_recovers() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("can create a temporary directory");
     let held = reserve_ports(31_000 + u64::from(std::process::id()) % 1000, 1);
     let addr = held[0].1;
     drop(held);
-    // Files of the process are limited to some kilobytes, and the signal of the limit is ignored: writes fail.
+    // A full disk is simulated by a limit of a few kilobytes on the size of the process's files. With its
+    // signal ignored, writes beyond the limit fail.
     let mut member = start(dir.path(), addr, "trap '' XFSZ; ulimit -S -f 6;");
     wait_until!("it leads", member, is_leader(addr).await);
     wait_until!(
-        "its disk is full",
+        "it rejects requests because its disk is full",
         member,
         matches!(request_status(addr).await, Some(Response::Rejected(_)))
     );
-    // It stays so as long as the fault lasts, and does not end.
+    // The member keeps running and rejecting requests as long as the fault lasts.
     tokio::time::sleep(Duration::from_millis(1500)).await;
     wait_until!(
         "it still rejects requests",
         member,
         matches!(request_status(addr).await, Some(Response::Rejected(_)))
     );
-    lift_file_limit(&member);
+    remove_file_size_limit(&member);
     wait_until!("it leads again", member, is_leader(addr).await);
 }
 
 #[tokio::test]
-async fn member_whose_disk_is_full_at_the_start_rejects_requests_and_then_starts() {
-    let dir = tempfile::tempdir().expect("a folder");
+async fn member_whose_disk_is_full_at_the_start_rejects_requests_until_it_can_write() {
+    let dir = tempfile::tempdir().expect("can create a temporary directory");
     let held = reserve_ports(29_000 + u64::from(std::process::id()) % 1000, 1);
     let addr = held[0].1;
     drop(held);
@@ -122,6 +125,6 @@
         member,
         matches!(request_status(addr).await, Some(Response::Rejected(_)))
     );
-    lift_file_limit(&member);
+    remove_file_size_limit(&member);
     wait_until!("it leads", member, is_leader(addr).await);
 }
