--- a/crates/member/src/cli/arguments.rs
+++ b/crates/member/src/cli/arguments.rs
@@ -53,7 +53,7 @@
         #[command(flatten)]
         options: RolloutOptions,
     },
-    /// Stops the start of new steps in the whole fleet until `resume` or `rollback`.
+    /// Halts releases and drains in the whole fleet at once: no new step begins until `resume` or `rollback`.
     Halt {
         /// The reason, which `status` shows.
         #[arg(long = "why", value_name = "WHY", default_value = "asked by an operator")]
--- a/crates/member/src/config/file.rs
+++ b/crates/member/src/config/file.rs
@@ -119,7 +119,7 @@
     /// Maximum number of unavailable units.
     #[serde(rename = "most")]
     pub max_unavailable: u32,
-    /// Maximum share of all units that are unavailable, from 0 to 1. One unit is always allowed.
+    /// Maximum share of all units that are unavailable, from 0 to 1. Any share allows at least one unit.
     #[serde(rename = "share", default = "defaults::max_unavailable_share")]
     pub max_unavailable_share: f64,
     /// Maximum number of unavailable units in one zone, if it is limited.
--- a/crates/member/src/local_services.rs
+++ b/crates/member/src/local_services.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Passes the drains and the front node's action that a step of the member has decided to the relay and
-    /// the driver.
+    /// Takes what a step of the member has decided out of `output`: passes the drains to the relay, and the
+    /// action on the front node to the driver.
     pub(crate) fn carry_out(&mut self, output: &mut StepOutput) {
         if let (Some(relay), Some(view)) = (&self.relay, output.drain_view.take()) {
             relay::send_if_changed(&relay.drain_view, view);
--- a/crates/member/src/relay/front_node_watch.rs
+++ b/crates/member/src/relay/front_node_watch.rs
@@ -23,7 +23,7 @@
     relay: Rc<Relay>,
     /// The lines of the response body of this watch.
     lines: mpsc::Sender<Bytes>,
-    // Clones of the relay's receivers, because each receiver records for itself which value it has seen last.
+    // Own clones of the relay's receivers, because each receiver records which value it has seen last.
     upstream: watch::Receiver<UpstreamList>,
     drain_view: watch::Receiver<DrainView>,
     observations: watch::Receiver<FrontNodeObservation>,
--- a/crates/member/src/relay/mod.rs
+++ b/crates/member/src/relay/mod.rs
@@ -3,12 +3,13 @@
 //!
 //! The endpoint list names the index servers and gives the zone and status of each. A client of discovery
 //! either polls the list or watches it: a watch is an HTTP response that does not end, in which each change
-//! of the list is a JSON object and a blank line is a heartbeat. The relay watches discovery, and the
-//! front node watches the relay in the same way. A drain that the fleet has decided therefore looks to the
-//! front node like any other drain: the index server has the status `draining` in the list.
+//! of the list is a JSON object and a blank line is a heartbeat. The relay watches discovery, and the front
+//! node watches the relay in the same way. A drain that the fleet has decided therefore looks to the front
+//! node like any other drain: the index server has the status `draining` in the list.
 //!
-//! On each watch the relay sends the next list only after the front node's own counter of received lists has
-//! grown. So a drain is reported as known to the front node only after the front node has received it.
+//! On each watch, the relay sends a list only after the front node's own counter of received lists shows that
+//! the list before it has arrived. So a drain is reported to the fleet as known to the front node only after
+//! the front node has received it.
 //!
 //! When the watch of discovery ends or is silent for too long, the relay ends the front node's watches and
 //! answers further requests with status 503 until discovery sends a list again: a list that may be outdated
--- a/crates/member/src/status_report/explanation.rs
+++ b/crates/member/src/status_report/explanation.rs
@@ -6,8 +6,8 @@
 };
 use std::fmt::{self, Display, Formatter};
 
-/// Explains a member's status: who holds the lease on each task, and why a task has no holder; why front
-/// nodes wait for a release, for the recovery from a power loss, or count as away; and how far drains are.
+/// Explains a member's status: which member holds the lease on each task; why front nodes wait during a
+/// release or during the recovery from a power loss, or count as away; and how far each drain has progressed.
 pub struct Explanation<'a>(pub &'a Status);
 
 impl Display for Explanation<'_> {
@@ -51,7 +51,10 @@
     if lease.holder != status.id {
         write!(out, "{task}: held by member {} under token {token}; ", lease.holder)?;
         return if own_task.wanted {
-            writeln!(out, "this member requests it when that lease ends, or after the duration of a lease.")
+            writeln!(
+                out,
+                "this member requests it again when that lease ends, or after the duration of a lease."
+            )
         } else {
             writeln!(out, "this member does not want it.")
         };
