--- a/crates/member/src/rollout/mod.rs
+++ b/crates/member/src/rollout/mod.rs
@@ -10,7 +10,7 @@
 mod status;
 
 use crate::config::FleetConfig;
-use crate::front_node_process::Observation;
+use crate::front_node_process::FrontNodeObservation;
 use crate::relay::{DiscoveredServers, DrainView};
 use crate::state_machine::{LogEntry, StateMachine};
 use crate::status::{RecoveryView, RolloutView};
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Observations {
     /// The state of the front node.
-    pub front_node: Observation,
+    pub front_node: FrontNodeObservation,
     /// The index servers on discovery's endpoint list, from the relay; `None` while discovery does not
     /// respond.
     pub discovered: DiscoveredServers,
@@ -195,7 +195,7 @@
 
     fn tick_agent(&mut self, now: u64, state: &RolloutState) -> AgentOutput {
         let Some(agent) = &mut self.agent else { return AgentOutput::default() };
-        agent.poll(now, &self.observations.front_node.state, state, self.recovery.start_permission())
+        agent.poll(now, &self.observations.front_node.status, state, self.recovery.start_permission())
     }
 
     /// Acknowledges drains that the front node's endpoint list shows, until the replicated state contains the
@@ -226,7 +226,7 @@
         let changed = state.servers().filter(|(_, server)| server.change_index > 0);
         DrainView {
             drained_servers: drained.map(|(name, _)| name.to_owned()).collect(),
-            changes: changed.map(|(name, server)| (name.to_owned(), server.change_index)).collect(),
+            change_indexes: changed.map(|(name, server)| (name.to_owned(), server.change_index)).collect(),
         }
     }
 
--- a/crates/member/src/rollout/recovery.rs
+++ b/crates/member/src/rollout/recovery.rs
@@ -3,7 +3,7 @@
 
 use super::RaftView;
 use crate::config::{FleetConfig, RecoveryConfig};
-use crate::front_node_process::Observation;
+use crate::front_node_process::FrontNodeObservation;
 use crate::state_machine::StateMachine;
 use pinetrestle_fleet::{MemberId, RetryTimer, Token};
 use pinetrestle_recovery::{
@@ -20,7 +20,7 @@
     /// The plan from the member's configuration file.
     pub(super) plan: Option<&'a Plan>,
     /// The latest observation of the front node.
-    pub(super) front_node: &'a Observation,
+    pub(super) front_node: &'a FrontNodeObservation,
     /// Whether this member has a front node.
     pub(super) has_front_node: bool,
     /// Whether this member's relay has received discovery's endpoint list.
@@ -100,7 +100,7 @@
             let halted = state.rollout.halt().is_some();
             commands.extend(self.coordinator.poll(now, token, recovery, halted, self.config.min_wave_ms));
         }
-        let running = inputs.front_node.state.running_version.is_some();
+        let running = inputs.front_node.status.running_version.is_some();
         self.admission = self.admission_controller.poll(now, inputs.raft.has_leader, running, recovery);
         commands
     }
@@ -128,7 +128,7 @@
         state: &RecoveryState,
         inputs: &RecoveryInputs<'_>,
     ) -> Option<Command> {
-        let front_node = &inputs.front_node.state;
+        let front_node = &inputs.front_node.status;
         let serving = front_node.running_version.is_some() && front_node.ready;
         // Without a relay, the front node reads the endpoint list from discovery itself.
         let has_endpoint_list = !self.uses_relay || inputs.has_endpoint_list;
