--- a/crates/member/benches/fleet.rs
+++ b/crates/member/benches/fleet.rs
@@ -1,5 +1,11 @@
-//! Measurements of a fleet of processes: `cargo bench -p pinetrestle-member --bench fleet -- WHICH`, WHICH being `roll`,
-//! `grants` or `power`; all of them without. Some minutes; figures go to `docs/results.md`.
+//! Benchmarks of a fleet of member processes, run by
+//! `cargo bench -p pinetrestle-member --bench fleet -- [roll] [grants] [power]`:
+//!
+//! - `roll`: the duration of a release of all front nodes, and its effect on queries;
+//! - `grants`: the rate at which leases are granted, and the resources that the members use;
+//! - `power`: the recovery after a power loss, with and without waves.
+//!
+//! Without a name, all of them run, which takes some minutes. The results are recorded in `docs/results.md`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -19,11 +25,13 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The first port of a fleet, another one in each process.
-fn base_port() -> u64 {
+/// Returns the lowest port that the fleet of this process uses. It depends on the process id, so that
+/// benchmarks that run at the same time rarely collide.
+fn first_port() -> u64 {
     16_000 + (u64::from(std::process::id()) % 20) * 200
 }
 
+/// Returns the duration of a Raft tick in milliseconds: longer in large fleets.
 fn tick_ms(members: u64) -> u64 {
     if members > 10 {
         50
@@ -32,68 +40,71 @@
     }
 }
 
+/// Returns true if no front node of the `members` members is away (out of service).
 fn all_serve(view: &RolloutView, members: u64) -> bool {
     view.nodes.len() as u64 == members && view.nodes.iter().all(|node| !node.away)
 }
 
+/// Waits until the load generator sees the front nodes of all members as ready.
 async fn wait_until_ready(load: &Load, members: u64) {
     while load.ready_count() < members as usize {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A release over all members under load: its duration, and what it did to the queries.
-async fn roll(members: u64, budget: usize) {
+/// Measures one release of all front nodes under load: its duration and its effect on queries.
+async fn measure_release(members: u64, budget: usize) {
     let dir = tempfile::tempdir().unwrap();
     let setup = FleetSetup {
         members,
         budget,
-        mesh: false,
+        use_proxies: false,
         tick_ms: tick_ms(members),
         wave_ms: Some(200),
-        base: base_port(),
+        first_port: first_port(),
         seed: 1,
     };
     let fleet = Fleet::start(dir.path(), setup).await;
-    let mut load = Load::start(&fleet.front_nodes, 4, Duration::from_millis(10));
-    fleet.wait_until("all serve", WAIT_LIMIT, |view| all_serve(view, members)).await;
+    let mut load = Load::start(&fleet.front_node_addrs, 4, Duration::from_millis(10));
+    fleet.wait_until("all front nodes serve", WAIT_LIMIT, |view| all_serve(view, members)).await;
     wait_until_ready(&load, members).await;
-    let quiet_us = wall_us();
+    let baseline_us = wall_us();
     tokio::time::sleep(Duration::from_secs(5)).await;
     let release_us = wall_us();
-    let begun = Instant::now();
-    fleet.run_command_until_done(&["release", "v2", "--id", "r1"], 1);
+    let started = Instant::now();
+    fleet.run_command_with_retries(&["release", "v2", "--id", "r1"], 1);
     let done = |view: &RolloutView| {
         view.release.as_ref().is_some_and(|release| release.id == "r1" && release.stage == "done")
     };
-    fleet.wait_until("done", Duration::from_secs(900), done).await;
-    let took = begun.elapsed();
+    fleet.wait_until("the release is done", Duration::from_secs(900), done).await;
+    let duration = started.elapsed();
     let end_us = wall_us();
     load.stop();
-    let asked = load.queries();
-    let during = asked.iter().filter(|a| a.started_at_us >= release_us).count();
-    let bad = asked.iter().filter(|a| a.status != 200).count();
+    let queries = load.queries();
+    let during_release = queries.iter().filter(|query| query.started_at_us >= release_us).count();
+    let not_200 = queries.iter().filter(|query| query.status != 200).count();
     println!(
-        "{members} members, budget {budget}: {:.1} s; most away {}; queries {during} during, {bad} of {} not 200; \
-         p99 {:.1} ms quiet, {:.1} ms during",
-        took.as_secs_f64(),
+        "{members} members, budget {budget}: {:.1} s; at most {} front nodes away; {during_release} queries \
+         during the release, {not_200} of all {} not 200; p99 {:.1} ms before, {:.1} ms during the release",
+        duration.as_secs_f64(),
         load.most_unready(release_us),
-        asked.len(),
-        p99_ms(&asked, quiet_us, release_us),
-        p99_ms(&asked, release_us, end_us)
+        queries.len(),
+        p99_ms(&queries, baseline_us, release_us),
+        p99_ms(&queries, release_us, end_us)
     );
     if std::env::var("PINETRESTLE_SHOW_STEPS").is_ok() {
         println!("{}", fleet.log_tails());
     }
 }
 
-async fn time_to_roll() {
+async fn measure_releases() {
     for (members, budget) in [(7, 1), (7, 2), (50, 1), (50, 10)] {
-        roll(members, budget).await;
+        measure_release(members, budget).await;
     }
 }
 
-/// What a process has used since its start.
+/// The resources that a process has used since its start: processor time, memory now in use, and bytes
+/// written to disk.
 #[derive(Debug, Clone, Copy)]
 struct ProcessUsage {
     cpu_seconds: f64,
@@ -102,6 +113,7 @@
 }
 
 impl ProcessUsage {
+    /// Reads the usage from `/proc`. A value that can't be read counts as 0.
     fn of(pid: u32) -> ProcessUsage {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap_or_default();
         let number = |text: &str, key: &str| {
@@ -109,7 +121,8 @@
             line.split_whitespace().nth(1).and_then(|word| word.parse::<u64>().ok()).unwrap_or(0)
         };
         let stat = read("stat");
-        // The fields after the process's name, which may contain spaces.
+        // The process name may contain spaces, so fields are counted from the one after it. Clock
+        // ticks last 10 ms.
         let fields = stat.rsplit(") ").next().unwrap_or_default().to_owned();
         let ticks = |n: usize| fields.split(' ').nth(n).and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
         ProcessUsage {
@@ -120,6 +133,7 @@
     }
 }
 
+/// Returns the status of a member, asking until it answers.
 async fn status(addr: SocketAddr) -> Status {
     loop {
         let response = client::request(addr, Request::Status, Duration::from_secs(2)).await;
@@ -130,7 +144,7 @@
     }
 }
 
-/// Five members without front nodes; killed when dropped.
+/// Five members without front nodes. Dropping it kills their processes.
 struct LeaseFleet {
     addrs: BTreeMap<u64, SocketAddr>,
     children: Vec<Child>,
@@ -140,7 +154,7 @@
     const MEMBERS: u64 = 5;
 
     fn start(dir: &Path) -> LeaseFleet {
-        let reserved = reserve_ports(base_port(), Self::MEMBERS as usize);
+        let reserved = reserve_ports(first_port(), Self::MEMBERS as usize);
         let addrs: BTreeMap<u64, SocketAddr> =
             (1..=Self::MEMBERS).map(|id| (id, reserved[id as usize - 1].1)).collect();
         drop(reserved);
@@ -166,11 +180,13 @@
             .unwrap()
     }
 
+    /// Returns the usage of each member, in the order of their ids.
     fn usage(&self) -> Vec<ProcessUsage> {
         self.children.iter().map(|child| ProcessUsage::of(child.id())).collect()
     }
 
-    /// Prints what each member used in the last `seconds`, since `before`; what it has used now.
+    /// Prints the resources that each member has used since the usage in `before` was read, `seconds` ago.
+    /// Returns the current usage.
     fn print_usage(
         &self,
         phase: &str,
@@ -191,7 +207,8 @@
         now
     }
 
-    /// Sets each task wanted, or not, at one member each, and waits until the leader has as many leases.
+    /// Makes each task wanted or unwanted at one member, spread over the members, and waits until the
+    /// leader's table has a lease for every task or none.
     async fn set_all_wanted(&self, tasks: usize, wanted: bool, leader: u64) {
         for number in 0..tasks {
             let request = Request::SetWanted { task: format!("task-{number}"), wanted };
@@ -214,8 +231,9 @@
     }
 }
 
-/// Every task's lease acquired by one member, held and released, over and over: grants a second.
-async fn grants() {
+/// Measures the rate of lease grants while the leases of all tasks are repeatedly acquired and released. Also
+/// measures the resources that the members use, while idle and during the grants.
+async fn measure_grants() {
     const TASKS: usize = 64;
     let dir = tempfile::tempdir().unwrap();
     let fleet = LeaseFleet::start(dir.path());
@@ -226,31 +244,31 @@
     tokio::time::sleep(Duration::from_secs(10)).await;
     let leader = status(fleet.addrs[&1]).await.leader;
     let after_idle = fleet.print_usage("idle", &at_start, 10.0, leader);
-    let begun = Instant::now();
-    let mut granted = 0;
-    while begun.elapsed() < Duration::from_secs(20) {
+    let started = Instant::now();
+    let mut grants = 0;
+    while started.elapsed() < Duration::from_secs(20) {
         for wanted in [true, false] {
             fleet.set_all_wanted(TASKS, wanted, leader).await;
         }
-        granted += TASKS;
+        grants += TASKS;
     }
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     println!(
-        "five members, {TASKS} tasks: {:.0} grants and as many releases a second",
-        granted as f64 / seconds
+        "five members, {TASKS} tasks: {:.0} grants and as many releases per second",
+        grants as f64 / seconds
     );
     fleet.print_usage("granting", &after_idle, seconds, leader);
 }
 
-/// Queries of the clients after a power loss.
+/// Counts the queries that the clients send after a power loss, by outcome.
 #[derive(Default)]
 struct QueryCounts {
     answered: AtomicU64,
     failed: AtomicU64,
 }
 
-/// Starts a client thread: 20 queries a second, kept up to 60 while its front node is not ready, and sent at once when
-/// it is.
+/// Starts a thread that generates 20 queries per second for one front node. While the front node is not
+/// ready, it keeps up to 60 queries, and sends them all at once when the front node is ready.
 fn start_client(
     load: Arc<Load>,
     node: usize,
@@ -258,16 +276,16 @@
     counts: Arc<QueryCounts>,
     stop: Arc<AtomicBool>,
 ) -> JoinHandle<()> {
-    const MAX_WAITING: u64 = 60;
+    const MAX_QUEUED: u64 = 60;
     std::thread::spawn(move || {
-        let mut waiting = MAX_WAITING;
+        let mut queued = MAX_QUEUED;
         while !stop.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(50));
-            waiting = (waiting + 1).min(MAX_WAITING);
+            queued = (queued + 1).min(MAX_QUEUED);
             if !load.is_ready(node) {
                 continue;
             }
-            for _ in 0..std::mem::take(&mut waiting) {
+            for _ in 0..std::mem::take(&mut queued) {
                 let counts = counts.clone();
                 std::thread::spawn(move || {
                     let count = if query_once(addr) == 200 { &counts.answered } else { &counts.failed };
@@ -278,13 +296,14 @@
     })
 }
 
-/// Starts a thread that keeps the most parts any one index server got in 100 ms.
-fn start_peak_watch(servers: Vec<Server>, peak: Arc<AtomicU64>, stop: Arc<AtomicBool>) -> JoinHandle<()> {
+/// Starts a thread that records in `peak` the largest number of parts that any one index server received
+/// within 100 ms. Front nodes send each query to the index servers as several requests, its parts.
+fn start_peak_recorder(servers: Vec<Server>, peak: Arc<AtomicU64>, stop: Arc<AtomicBool>) -> JoinHandle<()> {
     std::thread::spawn(move || {
-        let mut last: Vec<usize> = servers.iter().map(|server| server.received().len()).collect();
+        let mut last_counts: Vec<usize> = servers.iter().map(|server| server.received().len()).collect();
         while !stop.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(100));
-            for (server, last) in servers.iter().zip(&mut last) {
+            for (server, last) in servers.iter().zip(&mut last_counts) {
                 let now = server.received().len();
                 peak.fetch_max((now - *last) as u64, Ordering::Relaxed);
                 *last = now;
@@ -293,24 +312,24 @@
     })
 }
 
-/// All killed at once and started again at once, each front node with a client of its own: how long the recovery takes,
-/// and how many parts it makes at one index server.
-async fn power_back(members: u64, wave_ms: Option<u64>) {
+/// Kills all members and front nodes at once and starts all members again at once, with one client for each
+/// front node. Measures how long the recovery takes and the peak of parts at one index server.
+async fn measure_recovery(members: u64, wave_ms: Option<u64>) {
     let dir = tempfile::tempdir().unwrap();
     let setup = FleetSetup {
         members,
         budget: 1,
-        mesh: false,
+        use_proxies: false,
         tick_ms: tick_ms(members),
         wave_ms,
-        base: base_port(),
+        first_port: first_port(),
         seed: 1,
     };
     let mut fleet = Fleet::start(dir.path(), setup).await;
-    fleet.wait_until("all serve", WAIT_LIMIT, |view| all_serve(view, members)).await;
-    let load = Arc::new(Load::start(&fleet.front_nodes, 0, Duration::from_millis(10)));
+    fleet.wait_until("all front nodes serve", WAIT_LIMIT, |view| all_serve(view, members)).await;
+    let load = Arc::new(Load::start(&fleet.front_node_addrs, 0, Duration::from_millis(10)));
     wait_until_ready(&load, members).await;
-    kill_all(&mut fleet, members);
+    kill_all_processes(&mut fleet, members);
     while load.ready_count() > 0 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -320,35 +339,36 @@
     let counts = Arc::new(QueryCounts::default());
     let peak = Arc::new(AtomicU64::new(0));
     let mut threads: Vec<JoinHandle<()>> = (0..)
-        .zip(&fleet.front_nodes)
+        .zip(&fleet.front_node_addrs)
         .map(|(node, &addr)| start_client(load.clone(), node, addr, counts.clone(), stop.clone()))
         .collect();
-    threads.push(start_peak_watch(fleet.servers.clone(), peak.clone(), stop.clone()));
-    let begun = Instant::now();
+    threads.push(start_peak_recorder(fleet.servers.clone(), peak.clone(), stop.clone()));
+    let started = Instant::now();
     for id in 1..=members {
         fleet.start_member(id);
     }
-    while load.ready_count() < members as usize && begun.elapsed() < 2 * WAIT_LIMIT {
+    while load.ready_count() < members as usize && started.elapsed() < 2 * WAIT_LIMIT {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let took = begun.elapsed();
+    let duration = started.elapsed();
     tokio::time::sleep(Duration::from_secs(2)).await;
     stop.store(true, Ordering::Relaxed);
     for thread in threads {
         let _ = thread.join();
     }
     println!(
-        "{members} members, {}: all serve after {:.1} s; most parts at one index server in 100 ms: {}; {} answered, {} \
-         refused or not answered",
-        wave_ms.map_or("naive".to_owned(), |ms| format!("waves of {ms} ms")),
-        took.as_secs_f64(),
+        "{members} members, {}: all front nodes ready after {:.1} s; most parts at one index server in \
+         100 ms: {}; {} queries answered, {} rejected or not answered",
+        wave_ms.map_or("without waves".to_owned(), |ms| format!("waves of {ms} ms")),
+        duration.as_secs_f64(),
         peak.load(Ordering::Relaxed),
         counts.answered.load(Ordering::Relaxed),
         counts.failed.load(Ordering::Relaxed)
     );
 }
 
-fn kill_all(fleet: &mut Fleet, members: u64) {
+/// Kills all members and front nodes, as a power loss does.
+fn kill_all_processes(fleet: &mut Fleet, members: u64) {
     for id in 1..=members {
         fleet.kill_member(id);
     }
@@ -357,26 +377,26 @@
     }
 }
 
-async fn power_returns() {
-    for (members, wave) in [(7, None), (7, Some(1_000)), (50, None), (50, Some(1_000))] {
+async fn measure_recoveries() {
+    for (members, wave_ms) in [(7, None), (7, Some(1_000)), (50, None), (50, Some(1_000))] {
         for _ in 0..if members == 7 { 3 } else { 1 } {
-            power_back(members, wave).await;
+            measure_recovery(members, wave_ms).await;
         }
     }
 }
 
 fn main() {
-    let asked: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
-    let wanted = |name: &str| asked.is_empty() || asked.iter().any(|a| a == name);
+    let names: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
+    let wanted = |name: &str| names.is_empty() || names.iter().any(|a| a == name);
     common::multi_thread_runtime().block_on(async {
         if wanted("roll") {
-            time_to_roll().await;
+            measure_releases().await;
         }
         if wanted("grants") {
-            grants().await;
+            measure_grants().await;
         }
         if wanted("power") {
-            power_returns().await;
+            measure_recoveries().await;
         }
     });
 }
--- a/crates/member/tests/common/mod.rs
+++ b/crates/member/tests/common/mod.rs
@@ -1,4 +1,6 @@
-//! Shared by the tests with several processes: ports, the proxies between members, runs of many seeds.
+//! Helpers for tests that run several processes: ports, signals, fault proxies between members, and runs over
+//! many seeds.
+// Each test program uses only some of the helpers.
 #![allow(dead_code)]
 
 pub mod disk_stalls;
@@ -11,8 +13,11 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Binds free ports from `base` on, until dropped: below the kernel's range for port 0 (where the proxies bind), so that
-/// no proxy of a seed run beside this one takes a port between its check and its use.
+/// Reserves `count` free ports from `base` on by binding them; dropping a listener frees its port.
+///
+/// All ports are below the range from which the kernel chooses for port 0. The fault proxies bind port 0, so
+/// a proxy of another seed that runs at the same time can't take a port between its release here and its use
+/// by the process under test.
 pub fn reserve_ports(base: u64, count: usize) -> Vec<(TcpListener, SocketAddr)> {
     let mut found = Vec::new();
     let mut port = base;
@@ -23,14 +28,16 @@
         }
         port += 1;
     }
-    assert_eq!(found.len(), count, "no free ports from {base}");
+    assert_eq!(found.len(), count, "not enough free ports from {base} on");
     found
 }
 
-/// The front node's program, beside this crate's own; built here if the tests of this crate run alone.
-pub fn node_program() -> PathBuf {
-    static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT
+/// Returns the path of the front node program, which lies beside the program of this crate.
+///
+/// Cargo doesn't build the front node when the tests of this crate run alone; it is built here in that case.
+pub fn front_node_program() -> PathBuf {
+    static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
+    PROGRAM
         .get_or_init(|| {
             let path = Path::new(env!("CARGO_BIN_EXE_pinetrestle")).with_file_name("pinetrestle-node");
             if !path.exists() {
@@ -39,27 +46,29 @@
                 if !cfg!(debug_assertions) {
                     build.arg("--release");
                 }
-                assert!(build.status().unwrap().success(), "the front node builds");
+                assert!(build.status().unwrap().success(), "building pinetrestle-node failed");
             }
             path
         })
         .clone()
 }
 
-/// Sends a process a signal, as `-STOP`.
-pub fn send_signal(pid: u32, name: &str) -> bool {
-    Command::new("kill").args([name, &pid.to_string()]).status().is_ok_and(|s| s.success())
+/// Sends a signal to a process with `kill`, and returns true if that succeeded. `signal` is an option of
+/// `kill`, for example `-STOP`.
+pub fn send_signal(pid: u32, signal: &str) -> bool {
+    Command::new("kill").args([signal, &pid.to_string()]).status().is_ok_and(|s| s.success())
 }
 
-/// A fault proxy for each direction between each two members, by sender and receiver.
+/// Fault proxies between members: one for each pair of sender and receiver, which are its key.
 pub struct ProxyMesh(BTreeMap<(u64, u64), Proxy>);
 
 impl ProxyMesh {
-    /// No proxies: members dial each other directly.
+    /// Returns a mesh without proxies: members connect to each other directly.
     pub fn none() -> ProxyMesh {
         ProxyMesh(BTreeMap::new())
     }
 
+    /// Starts a proxy for each direction between each two of the members at `addrs`.
     pub async fn start(addrs: &BTreeMap<u64, SocketAddr>, seed: u64) -> ProxyMesh {
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let mut proxies = BTreeMap::new();
@@ -75,16 +84,17 @@
         ProxyMesh(proxies)
     }
 
-    /// Sets `fault` on the links for which `is_cut` holds.
-    pub fn set_fault(&self, is_cut: impl Fn(u64, u64) -> bool, fault: Fault) {
+    /// Sets `fault` on each link for whose sender and receiver `is_affected` returns true.
+    pub fn set_fault(&self, is_affected: impl Fn(u64, u64) -> bool, fault: Fault) {
         for (&(from, to), proxy) in &self.0 {
-            if is_cut(from, to) {
+            if is_affected(from, to) {
                 proxy.set_fault(fault);
             }
         }
     }
 
-    /// The `peers` and `dial` keys of member `from`'s file.
+    /// Returns the `peers` and `dial` keys of the configuration file of member `from`: the addresses of all
+    /// members, and those of the proxies through which it connects to them.
     pub fn peer_keys(&self, addrs: &BTreeMap<u64, SocketAddr>, from: u64) -> String {
         let peers: Vec<String> =
             addrs.iter().map(|(id, addr)| format!("{{ id: {id}, addr: \"{addr}\" }}")).collect();
@@ -97,9 +107,12 @@
     }
 }
 
-/// Runs seeds `0..default`, or as many as the environment variable says, `at_once` at a time, each on a runtime of its
-/// own. All of a round are waited for before the panic of one is resumed, so that it leaves no processes of the others
-/// behind.
+/// Runs `run` for the seeds from 0 on, `at_once` of them at a time, each on its own thread and runtime.
+/// Returns each seed with its result.
+///
+/// The number of seeds is the value of the environment variable `variable`, or `default` if it isn't set to a
+/// number. If one seed panics, the panic is resumed only after all seeds that run beside it have ended, so
+/// that these stop their processes.
 pub fn run_seeds<R, F>(
     variable: &str,
     default: u64,
@@ -126,7 +139,7 @@
     reports
 }
 
-/// A runtime with two worker threads.
+/// Returns a runtime with two worker threads.
 pub fn multi_thread_runtime() -> tokio::runtime::Runtime {
     tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap()
 }
--- a/crates/member/tests/five.rs
+++ b/crates/member/tests/lease_faults.rs
@@ -1,11 +1,16 @@
-//! Leases under faults: five processes of the program with a fault proxy on each link, two fleet-wide tasks that all five
-//! want, and a stand-in task sink that accepts actions through the fence. While links drop, the fleet is split two from
-//! three, the holder is stopped (SIGSTOP) for two leases, and members are killed (SIGKILL) and started again, the leader
-//! too, the sink records every action with its token.
+//! Leases under faults: five member processes with a fault proxy on each link, two fleet-wide tasks whose
+//! leases all five members want, and a task sink that accepts an action only if its fencing token is not
+//! stale.
 //!
-//! Checked on each of 20 seeds: no stale token is accepted; no two tokens have actions that were decided in
-//! overlapping intervals; after every fault the task is acted on again within [`BOUND_MS`]. Time in which the
-//! machine's disk stalled, seen by a thread that only writes and syncs, is added to the bound.
+//! Each seed injects these faults in random order: links drop, the fleet is partitioned into two and three
+//! members, the lease holder is stopped (SIGSTOP) for the duration of two leases, the holder is killed
+//! (SIGKILL) and started again, and so is the leader. The sink records every action with its token.
+//!
+//! For each of 20 seeds the test checks that
+//! - no action with a stale token is accepted,
+//! - the times at which actions were decided don't overlap between any two tokens,
+//! - after every fault, actions of the task are accepted again within [`MAX_GAP_MS`]. Time in which the
+//!   machine's disk stalled, as measured by a thread that only writes and syncs, is added to this bound.
 
 mod common;
 
@@ -26,19 +31,19 @@
 const MEMBERS: u64 = 5;
 const TICK_MS: u64 = 20;
 const LEASE_MS: u64 = 1_000;
-/// Longest stretch without an action taken: two elections at most (10 to 20 ticks each), the new leader's wait of
-/// 1_120 ms, a quarter lease of asking, and 600 ms for a machine under load.
-const BOUND_MS: u64 = 2 * 20 * TICK_MS + 1_120 + LEASE_MS / 4 + 600;
-/// Seeds run, unless `PINETRESTLE_FLEET_SEEDS` says how many.
+/// The longest time without an accepted action: at most two elections (10 to 20 ticks each), the 1_120 ms
+/// that a new leader waits, a quarter of a lease until a member requests the lease, and 600 ms for a machine
+/// under load.
+const MAX_GAP_MS: u64 = 2 * 20 * TICK_MS + 1_120 + LEASE_MS / 4 + 600;
+/// Number of seeds, unless the environment variable `PINETRESTLE_FLEET_SEEDS` sets it.
 const SEEDS: u64 = 20;
-/// The fleet-wide tasks all five ask for.
+/// The fleet-wide tasks whose leases all five members request.
 const TASKS: [&str; 2] = ["refresh-lists", "rebuild-index"];
-/// Seeds run at once.
-const AT_ONCE: u64 = 5;
-/// Microseconds in a millisecond.
+/// Number of seeds that run at the same time.
+const SEEDS_AT_ONCE: u64 = 5;
 const US_PER_MS: u64 = 1_000;
 
-/// The address the sink says it listens on, waited for up to 10 s.
+/// Returns the address that the sink logs when it listens. Waits for it up to 10 s.
 async fn sink_address(log: &Path) -> SocketAddr {
     for _ in 0..200 {
         let text = std::fs::read_to_string(log).unwrap_or_default();
@@ -47,9 +52,10 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("the sink named no address: {}", std::fs::read_to_string(log).unwrap_or_default());
+    panic!("the sink logged no listening address: {}", std::fs::read_to_string(log).unwrap_or_default());
 }
 
+/// Five members without front nodes, and the task sink. Dropping it kills the processes.
 struct Fleet {
     dir: PathBuf,
     addrs: BTreeMap<u64, SocketAddr>,
@@ -60,7 +66,7 @@
 
 impl Fleet {
     async fn start(dir: &Path, seed: u64) -> Fleet {
-        // The sink takes a port of the kernel's choosing and says which.
+        // The kernel chooses the port of the sink, and the sink logs its address.
         let sink = Command::new(env!("CARGO_BIN_EXE_pinetrestle"))
             .args(["fleet", "sink", "--listen", "127.0.0.1:0", "--record"])
             .arg(dir.join("sink.jsonl"))
@@ -69,21 +75,23 @@
             .spawn()
             .unwrap();
         let sink_addr = sink_address(&dir.join("sink.log")).await;
-        let base = 20_000 + (u64::from(std::process::id()) % 40) * 300 + seed * 12;
-        let held = reserve_ports(base, MEMBERS as usize);
-        let addrs: BTreeMap<u64, SocketAddr> = (1..=MEMBERS).map(|i| (i, held[i as usize - 1].1)).collect();
+        let first_port = 20_000 + (u64::from(std::process::id()) % 40) * 300 + seed * 12;
+        let reserved = reserve_ports(first_port, MEMBERS as usize);
+        let addrs: BTreeMap<u64, SocketAddr> =
+            (1..=MEMBERS).map(|i| (i, reserved[i as usize - 1].1)).collect();
         let mesh = ProxyMesh::start(&addrs, seed).await;
         for from in 1..=MEMBERS {
             let text = format!(
                 "{{ id: {from}, {}, data_dir: \"{}\", tick_ms: {TICK_MS}, election_ticks: 10, \
-                 heartbeat_ticks: 2, lease_ms: {LEASE_MS}, tasks: [\"refresh-lists\", \"rebuild-index\"], sink: \"{sink_addr}\", \
+                 heartbeat_ticks: 2, lease_ms: {LEASE_MS}, tasks: [\"refresh-lists\", \"rebuild-index\"], \
+                 sink: \"{sink_addr}\", \
                  act_ms: 20, snapshot_every: 200 }}",
                 mesh.peer_keys(&addrs, from),
                 dir.join(format!("data-{from}")).display()
             );
             std::fs::write(dir.join(format!("m{from}.json5")), text).unwrap();
         }
-        drop(held);
+        drop(reserved);
         let mut fleet = Fleet { dir: dir.to_path_buf(), addrs, children: BTreeMap::new(), sink, mesh };
         for id in 1..=MEMBERS {
             fleet.start_member(id);
@@ -115,6 +123,7 @@
         }
     }
 
+    /// Returns the leader according to the first member that answers and knows one.
     async fn leader(&self) -> Option<u64> {
         for addr in self.addrs.values() {
             if let Ok(Response::Status(status)) =
@@ -128,11 +137,14 @@
         None
     }
 
+    /// Returns the sink's records of all actions so far, accepted or rejected, in the order of arrival.
     fn records(&self) -> Vec<Value> {
         let text = std::fs::read_to_string(self.dir.join("sink.jsonl")).unwrap_or_default();
         text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
     }
 
+    /// Returns the member that sent the last accepted action. It counts as the lease holder, whichever of the
+    /// tasks the action belongs to.
     fn holder(&self) -> Option<u64> {
         self.records().iter().rev().find(|r| r["taken"] == true).and_then(|r| r["member"].as_u64())
     }
@@ -154,13 +166,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FaultKind {
     DropLinks,
-    Split,
+    Partition,
     StallHolder,
-    KillMember,
+    KillHolder,
     KillLeader,
 }
 
-/// A fault and when it was in force, by the wall clock.
+/// A fault with its start and end, in wall-clock microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy)]
 struct InjectedFault {
     kind: FaultKind,
@@ -168,21 +180,25 @@
     end_us: u64,
 }
 
-/// What one seed measured.
+/// The measurements of one seed.
 #[derive(Debug, Default)]
 struct SeedReport {
-    /// What the sink wrote on standard error.
+    /// The standard error output of the sink.
     sink_output: String,
     faults: Vec<InjectedFault>,
+    /// Number of actions that the sink accepted, and of those that it rejected.
     accepted: u64,
     rejected: u64,
+    /// Number of fencing tokens, summed over the tasks.
     tokens: u64,
-    /// For each fault, the longest gap without an accepted action from its start to a bound after its end.
+    /// For each fault and task, the longest time without an accepted action between the start of the fault
+    /// and [`MAX_GAP_MS`] after its end.
     outage_ms: Vec<(FaultKind, u64)>,
+    /// The longest time without an accepted action of a task.
     longest_gap_ms: u64,
-    /// How long the machine's disk stalled in the longest such gap.
+    /// How long the machine's disk stalled within the longest gap.
     stalled_in_gap_ms: u64,
-    /// How long it stalled in all.
+    /// How long the machine's disk stalled during all faults.
     stalled_ms: u64,
 }
 
@@ -191,17 +207,18 @@
 }
 
 impl Fleet {
+    /// Injects a fault and ends it again.
     async fn inject(&mut self, kind: FaultKind, random: &mut StdRng) {
         match kind {
             FaultKind::DropLinks => self.drop_links(random).await,
-            FaultKind::Split => self.split(random).await,
+            FaultKind::Partition => self.partition(random).await,
             FaultKind::StallHolder => {
                 let holder = self.holder().unwrap_or(1);
                 self.signal(holder, "-STOP");
                 sleep_ms(2 * LEASE_MS).await;
                 self.signal(holder, "-CONT");
             }
-            FaultKind::KillMember => {
+            FaultKind::KillHolder => {
                 let holder = self.holder().unwrap_or(1);
                 self.restart_member(holder).await;
             }
@@ -212,17 +229,19 @@
         }
     }
 
+    /// Drops up to four random links, in both directions, for one second.
     async fn drop_links(&self, random: &mut StdRng) {
-        let cut: Vec<(u64, u64)> =
+        let affected: Vec<(u64, u64)> =
             (0..4).map(|_| (random.random_range(1..=MEMBERS), random.random_range(1..=MEMBERS))).collect();
-        let is_cut = |from, to| cut.contains(&(from, to)) || cut.contains(&(to, from));
-        self.mesh.set_fault(is_cut, Fault::Drop);
+        let is_affected = |from, to| affected.contains(&(from, to)) || affected.contains(&(to, from));
+        self.mesh.set_fault(is_affected, Fault::Drop);
         sleep_ms(1_000).await;
         self.mesh.set_fault(|_, _| true, Fault::Heal);
     }
 
-    /// Splits two members from three, the holder on the side of two, which can't renew.
-    async fn split(&self, random: &mut StdRng) {
+    /// Partitions the fleet into two and three members for 1.5 s. The holder is in the minority and can't
+    /// renew its lease.
+    async fn partition(&self, random: &mut StdRng) {
         let holder = self.holder().unwrap_or(1);
         let other = (holder % MEMBERS) + 1;
         let in_minority = |id: u64| id == holder || id == other;
@@ -232,6 +251,7 @@
         self.mesh.set_fault(|_, _| true, Fault::Heal);
     }
 
+    /// Kills a member and starts it again after 500 ms.
     async fn restart_member(&mut self, id: u64) {
         self.kill_member(id);
         sleep_ms(500).await;
@@ -239,12 +259,13 @@
     }
 }
 
+/// Returns all kinds of faults in random order.
 fn shuffled_faults(random: &mut StdRng) -> Vec<FaultKind> {
     let mut kinds = vec![
         FaultKind::DropLinks,
-        FaultKind::Split,
+        FaultKind::Partition,
         FaultKind::StallHolder,
-        FaultKind::KillMember,
+        FaultKind::KillHolder,
         FaultKind::KillLeader,
     ];
     for i in (1..kinds.len()).rev() {
@@ -254,46 +275,48 @@
 }
 
 async fn run_seed(seed: u64) -> SeedReport {
-    disk_stalls::start_watching();
+    disk_stalls::start_recording();
     let dir = tempfile::tempdir().unwrap();
     let mut fleet = Fleet::start(dir.path(), seed).await;
     let mut random = StdRng::seed_from_u64(seed);
     let kinds = shuffled_faults(&mut random);
     sleep_ms(2_500).await;
     let mut report = SeedReport::default();
-    let from = wall_us();
+    let from_us = wall_us();
     for kind in kinds {
         let start_us = wall_us();
         fleet.inject(kind, &mut random).await;
         report.faults.push(InjectedFault { kind, start_us, end_us: wall_us() });
-        sleep_ms(BOUND_MS).await;
+        sleep_ms(MAX_GAP_MS).await;
     }
-    let all = fleet.records();
-    let until = wall_us();
+    let all_records = fleet.records();
+    let until_us = wall_us();
     drop(fleet);
     report.sink_output = std::fs::read_to_string(dir.path().join("sink.log")).unwrap_or_default();
-    report.stalled_ms = disk_stalls::stalled_ms(from, until);
-    // 500 actions and more a task, in the time that the machine gave.
-    let least = 500 - 500 * report.stalled_ms * US_PER_MS / (until - from);
-    // Each task on its own: two tasks of one member count their requests apart.
+    report.stalled_ms = disk_stalls::stalled_ms(from_us, until_us);
+    // More than 500 actions for each task, reduced by the share of the time in which the disk stalled.
+    let min_accepted = 500 - 500 * report.stalled_ms * US_PER_MS / (until_us - from_us);
+    // Each task is checked on its own, because a member numbers the requests of each of its tasks separately.
     for task in TASKS {
-        let records: Vec<Value> = all.iter().filter(|record| record["task"] == task).cloned().collect();
-        check_task(seed, task, &records, least, &mut report);
+        let records: Vec<Value> =
+            all_records.iter().filter(|record| record["task"] == task).cloned().collect();
+        check_task(seed, task, &records, min_accepted, &mut report);
     }
     report
 }
 
-fn field(record: &Value, key: &str) -> u64 {
+fn u64_field(record: &Value, key: &str) -> u64 {
     record[key].as_u64().unwrap()
 }
 
-fn check_task(seed: u64, task: &str, records: &[Value], least: u64, report: &mut SeedReport) {
+/// Checks the sink's records of one task and adds its measurements to `report`.
+fn check_task(seed: u64, task: &str, records: &[Value], min_accepted: u64, report: &mut SeedReport) {
     let accepted: Vec<&Value> = records.iter().filter(|record| record["taken"] == true).collect();
     report.accepted += accepted.len() as u64;
     report.rejected += (records.len() - accepted.len()) as u64;
     assert!(
-        accepted.len() as u64 > least,
-        "seed {seed}: {task} was hardly acted on: {} actions of {least}; {}",
+        accepted.len() as u64 > min_accepted,
+        "seed {seed}: too few actions of {task}: {} accepted, more than {min_accepted} expected; {}",
         accepted.len(),
         report.sink_output
     );
@@ -305,32 +328,33 @@
     }
 }
 
-/// No stale token is accepted: in the order of arrival, tokens never go down.
+/// Checks that no stale token was accepted: in the order of arrival, tokens never decrease.
 fn check_no_stale_token(seed: u64, accepted: &[&Value]) {
     for pair in accepted.windows(2) {
         assert!(
-            field(pair[0], "token") <= field(pair[1], "token"),
-            "seed {seed}: stale token taken: {pair:?}"
+            u64_field(pair[0], "token") <= u64_field(pair[1], "token"),
+            "seed {seed}: stale token accepted: {pair:?}"
         );
     }
 }
 
-/// When actions were decided under one token, accepted or rejected.
+/// The time span in which a member decided actions under one token, whether they were accepted or rejected.
 struct TokenSpan {
     first_us: u64,
     last_us: u64,
     member: u64,
 }
 
-/// Never two holders act at once: the times at which actions were decided don't overlap between tokens. (The fence
-/// would hide such an overlap from what is accepted; this looks behind it.) Returns the number of tokens.
+/// Checks that there were never two holders at the same time: the times at which actions were decided don't
+/// overlap between tokens. Rejected actions are included, because the sink rejects stale tokens and so the
+/// accepted actions alone would not show an overlap. Returns the number of tokens.
 fn check_one_holder_at_a_time(seed: u64, records: &[Value]) -> u64 {
     let mut spans: BTreeMap<u64, TokenSpan> = BTreeMap::new();
     for record in records {
-        let new = TokenSpan { first_us: u64::MAX, last_us: 0, member: field(record, "member") };
-        let span = spans.entry(field(record, "token")).or_insert(new);
-        span.first_us = span.first_us.min(field(record, "sent_us"));
-        span.last_us = span.last_us.max(field(record, "sent_us"));
+        let new = TokenSpan { first_us: u64::MAX, last_us: 0, member: u64_field(record, "member") };
+        let span = spans.entry(u64_field(record, "token")).or_insert(new);
+        span.first_us = span.first_us.min(u64_field(record, "sent_us"));
+        span.last_us = span.last_us.max(u64_field(record, "sent_us"));
     }
     let in_order: Vec<(&u64, &TokenSpan)> = spans.iter().collect();
     for pair in in_order.windows(2) {
@@ -338,8 +362,8 @@
         let (next_token, next) = pair[1];
         assert!(
             span.last_us < next.first_us,
-            "seed {seed}: member {} under token {token} acted until {} µs, member {} under token {next_token} from \
-             {} µs",
+            "seed {seed}: member {} acted under token {token} until {} µs, member {} under token \
+             {next_token} from {} µs on",
             span.member,
             span.last_us,
             next.member,
@@ -349,45 +373,47 @@
     spans.len() as u64
 }
 
-/// The lease is held again within the bound: no gap without an accepted action is longer than [`BOUND_MS`], but for
-/// what the machine's disk stalled in it.
+/// Checks that the lease is always held again within the bound: no gap between accepted actions is longer
+/// than [`MAX_GAP_MS`] plus the time for which the machine's disk stalled in the gap.
 fn check_gaps(seed: u64, accepted: &[&Value], report: &mut SeedReport) {
     for pair in accepted.windows(2) {
-        let last_us = field(pair[0], "at_us");
-        let next_us = field(pair[1], "at_us");
-        let gap = (next_us - last_us) / US_PER_MS;
-        let stalled = disk_stalls::stalled_ms(last_us, next_us);
-        if gap > report.longest_gap_ms {
-            report.longest_gap_ms = gap;
-            report.stalled_in_gap_ms = stalled;
+        let last_us = u64_field(pair[0], "at_us");
+        let next_us = u64_field(pair[1], "at_us");
+        let gap_ms = (next_us - last_us) / US_PER_MS;
+        let stalled_ms = disk_stalls::stalled_ms(last_us, next_us);
+        if gap_ms > report.longest_gap_ms {
+            report.longest_gap_ms = gap_ms;
+            report.stalled_in_gap_ms = stalled_ms;
         }
         assert!(
-            gap <= BOUND_MS + stalled,
-            "seed {seed}: {gap} ms without an action, {stalled} ms of them the machine's"
+            gap_ms <= MAX_GAP_MS + stalled_ms,
+            "seed {seed}: {gap_ms} ms without an action; the disk stalled for {stalled_ms} ms of them"
         );
     }
 }
 
-/// The longest gap without an accepted action from the start of `fault` to a bound after its end.
+/// Returns the longest time without an accepted action between the start of `fault` and [`MAX_GAP_MS`] after
+/// its end, in milliseconds.
 fn longest_outage_ms(accepted: &[&Value], fault: InjectedFault) -> u64 {
-    let until_us = fault.end_us + BOUND_MS * US_PER_MS;
-    let mut outage = 0;
+    let until_us = fault.end_us + MAX_GAP_MS * US_PER_MS;
+    let mut outage_ms = 0;
     for pair in accepted.windows(2) {
-        let last_us = field(pair[0], "at_us");
-        let next_us = field(pair[1], "at_us");
+        let last_us = u64_field(pair[0], "at_us");
+        let next_us = u64_field(pair[1], "at_us");
         if next_us > fault.start_us && last_us < until_us {
-            outage = outage.max((next_us - last_us.max(fault.start_us)) / US_PER_MS);
+            outage_ms = outage_ms.max((next_us - last_us.max(fault.start_us)) / US_PER_MS);
         }
     }
-    outage
+    outage_ms
 }
 
+/// Prints the measurements of each seed, and the outages over all seeds for each kind of fault.
 fn print_reports(reports: &[(u64, SeedReport)]) {
     let mut outages: BTreeMap<FaultKind, Vec<u64>> = BTreeMap::new();
     for (seed, report) in reports {
         eprintln!(
-            "seed {seed}: {} taken, {} refused, {} tokens, longest gap {} ms, machine stalled {} ms in it, {} ms in all, \
-             outages {:?}",
+            "seed {seed}: {} accepted, {} rejected, {} tokens, longest gap {} ms, disk stalled {} ms in it, \
+             {} ms in all, outages {:?}",
             report.accepted,
             report.rejected,
             report.tokens,
@@ -404,7 +430,7 @@
         ms.sort_unstable();
         let percentile = |percent: usize| ms[(ms.len() - 1) * percent / 100];
         eprintln!(
-            "{kind:?}: {} faults, longest stretch without an action: median {} ms, 99th {} ms",
+            "{kind:?}: {} outages (one for each fault and task): median {} ms, 99th percentile {} ms",
             ms.len(),
             percentile(50),
             percentile(99)
@@ -415,7 +441,7 @@
 #[test]
 fn five_members_under_faults_never_act_under_two_tokens_at_once() {
     let started = Instant::now();
-    let reports = run_seeds("PINETRESTLE_FLEET_SEEDS", SEEDS, AT_ONCE, run_seed);
+    let reports = run_seeds("PINETRESTLE_FLEET_SEEDS", SEEDS, SEEDS_AT_ONCE, run_seed);
     print_reports(&reports);
     eprintln!("{} seeds in {:?}", reports.len(), started.elapsed());
 }
