--- a/crates/member/tests/rollout_faults.rs
+++ b/crates/member/tests/rollout_faults.rs
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn release_under_faults_stays_within_budget_and_steps_each_front_node_once() {
+fn release_under_faults_stays_within_the_budget_and_steps_each_front_node_once() {
     for (seed, report) in run_seeds("PINETRESTLE_ROLLOUT_SEEDS", SEEDS, SEEDS_AT_ONCE, run_seed) {
         eprintln!("seed {seed}: {}", serde_json::to_string(&report).unwrap());
         assert!(report.queries > 500, "too few queries: {report:?}");
@@ -383,6 +383,6 @@
 }
 
 #[test]
-fn drain_of_an_index_server_waits_for_every_front_node_and_its_return_ramps_up() {
+fn index_server_drain_waits_for_every_front_node_and_the_return_ramps_up() {
     multi_thread_runtime().block_on(run_drain_and_return());
 }
