--- a/crates/benchlink/src/decode.rs
+++ b/crates/benchlink/src/decode.rs
@@ -3,7 +3,7 @@
 use crate::error::WireError;
 use crate::instance::{Instance, ServerNumbers};
 use pinetrestle::interface::{Event, Lifecycle, ListedReplica, Outcome};
-use pinetrestle_settings::fields::{count, count_u32, flag, integer, maybe, micros, number, text};
+use pinetrestle_settings::fields::{count, count_u32, flag, integer, micros, number, optional, text};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -63,10 +63,10 @@
     Ok(ListedReplica {
         replica: servers.number_of(text(entry, "server")?),
         cell: count_u32(entry, "cell")?,
-        relative_capacity: maybe(entry, "scale", number)?.unwrap_or(DEFAULT_SIZE),
+        relative_capacity: optional(entry, "scale", number)?.unwrap_or(DEFAULT_SIZE),
         lifecycle: lifecycle(text(entry, "lifecycle")?),
         // A start of 0 is the wire's word for none.
-        started_at: maybe(entry, "launched", micros)?.filter(|at| at.0 != 0),
+        started_at: optional(entry, "launched", micros)?.filter(|at| at.0 != 0),
     })
 }
 
@@ -84,7 +84,7 @@
     let id = count_u32(line, "id")?;
     let query_number = count(line, "query")?;
     let range = integer(line, "range_no")?;
-    let work_hint = maybe(line, "expected", micros)?;
+    let work_hint = optional(line, "expected", micros)?;
     if let Ok(shard) = u32::try_from(range) {
         let weight = number(line, "amount")?;
         return Ok(Event::Part { id, query_number, shard, weight, work_hint });
@@ -98,7 +98,7 @@
         tenant: tenant.and_then(|name| deployment.tenant(name)),
         expires_in: micros(line, "expires_in")?,
         work_hint,
-        retry: maybe(line, "repeat", flag)?.unwrap_or(false),
+        retry: optional(line, "repeat", flag)?.unwrap_or(false),
     })
 }
 
--- a/crates/benchlink/src/session.rs
+++ b/crates/benchlink/src/session.rs
@@ -5,7 +5,9 @@
 use crate::error::WireError;
 use crate::instance::Instance;
 use pinetrestle::interface::{Action, Micros};
-use pinetrestle_settings::fields::{count, field, list, maybe, micros, text, Expected, FieldError, Problem};
+use pinetrestle_settings::fields::{
+    count, field, list, micros, optional, text, Expected, FieldError, Problem,
+};
 use serde_json::Value;
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -74,7 +76,7 @@
     /// Adds an event to the batch of its instance; one for no instance, or for one that doesn't run, is
     /// skipped.
     fn add_event(&mut self, kind: &str, line: &Value) -> Result<(), WireError> {
-        let Some(who) = maybe(line, "who", count)? else { return Ok(()) };
+        let Some(who) = optional(line, "who", count)? else { return Ok(()) };
         let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
         if let Some(event) = decode::event(instance, kind, line, &self.tables)? {
             instance.events.push(event);
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -17,7 +17,7 @@
 use crate::flight_recorder::RecorderSettings;
 use file::{DEFAULT_SOCKETS, FILE_VARIABLE};
 use pinetrestle_protocol::endpoint_list::{self, ListUpdate};
-use pinetrestle_settings::fields::{count, field, maybe, text, FieldError, Parsed};
+use pinetrestle_settings::fields::{count, field, optional, text, FieldError, Parsed};
 use pinetrestle_settings::Deployment;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -196,7 +196,7 @@
 fn read_socket_limit(file: &Value) -> Parsed<usize> {
     let stated = match file.get("limits") {
         None => None,
-        Some(limits) => maybe(limits, "sockets", count).map_err(|error| error.within("limits"))?,
+        Some(limits) => optional(limits, "sockets", count).map_err(|error| error.within("limits"))?,
     };
     let sockets = stated.unwrap_or(DEFAULT_SOCKETS);
     if sockets < MIN_SOCKETS {
--- a/crates/node/src/config/names.rs
+++ b/crates/node/src/config/names.rs
@@ -34,7 +34,7 @@
             names.wire = Rc::new(wire);
         }
         if let Some(path) = setting_keys {
-            names.setting_keys = KeyAliases::of(&read_json(path)?)
+            names.setting_keys = KeyAliases::from_wire_description(&read_json(path)?)
                 .map_err(|source| NodeError::SettingKeys { path: path.to_owned(), source })?;
         }
         Ok(names)
--- a/crates/node/src/config/transport.rs
+++ b/crates/node/src/config/transport.rs
@@ -1,7 +1,7 @@
 //! Timeouts and capacities of the sockets: the object `transport` of the configuration file, with its defaults.
 
 use pinetrestle::interface::Micros;
-use pinetrestle_settings::fields::{count, maybe, FieldError, Parsed};
+use pinetrestle_settings::fields::{count, optional, FieldError, Parsed};
 use pinetrestle_settings::Deployment;
 use serde_json::Value;
 use std::time::Duration;
@@ -126,7 +126,7 @@
 
 impl TransportReader<'_> {
     fn count(&self, name: &str, default: u64) -> Parsed<u64> {
-        let value = maybe(self.0, name, count)?.unwrap_or(default);
+        let value = optional(self.0, name, count)?.unwrap_or(default);
         if value == 0 {
             return Err(FieldError::new(name, "must be more than 0"));
         }
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -66,7 +66,7 @@
         /// Those of `failed` that had no answer at their deadline.
         overdue => "overdue",
         /// Abandoned: the client disconnected before the answer.
-        client_gone => "gone",
+        client_disconnected => "gone",
         /// Open at the moment.
         open => "held",
         /// Those of `admitted` that the client marked as its own retries.
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -31,7 +31,7 @@
     /// The configuration in force; it has the address of discovery.
     pub(crate) live_config: Rc<LiveConfig>,
     /// Notified when the configuration names another address.
-    pub(crate) moved: Rc<Notify>,
+    pub(crate) address_changed: Rc<Notify>,
     /// Which watch is established and which are being opened.
     pub(crate) watches: WatchSupervisor<SocketAddr>,
     /// Counts watches and what they receive.
@@ -67,7 +67,7 @@
                     None => return,
                     Some(()) => self.watches.request_watch(start.elapsed(), self.timeouts()),
                 },
-                () = self.moved.notified() => {
+                () = self.address_changed.notified() => {
                     let address = self.live_config.get().discovery;
                     self.watches.change_address(start.elapsed(), address, self.timeouts())
                 }
--- a/crates/node/src/host/inputs.rs
+++ b/crates/node/src/host/inputs.rs
@@ -14,7 +14,7 @@
     /// Handles the disconnect of a query's client. Does nothing if the query has ended.
     pub fn client_disconnected(&mut self, query: Id) {
         if let Some(removed) = self.remove_query(query) {
-            self.update_query_counters(removed.class, |queries| queries.client_gone.increment());
+            self.update_query_counters(removed.class, |queries| queries.client_disconnected.increment());
             self.events.push(Event::ClientDisconnected(query));
         }
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -187,11 +187,11 @@
         &self,
         watches: WatchSupervisor<SocketAddr>,
         requested_watches: mpsc::Receiver<()>,
-        moved: Rc<Notify>,
+        address_changed: Rc<Notify>,
     ) {
         let discovery = DiscoveryTask {
             live_config: self.live_config.clone(),
-            moved,
+            address_changed,
             watches,
             counters: self.counters.clone(),
             to_event_loop: self.to_event_loop.clone(),
--- a/crates/node/tests/host/harness.rs
+++ b/crates/node/tests/host/harness.rs
@@ -221,7 +221,7 @@
                 &queries.partial,
                 &queries.rejected,
                 &queries.failed,
-                &queries.client_gone,
+                &queries.client_disconnected,
             ];
             let ended: u64 = ended.iter().map(|counter| counter.get()).sum();
             assert_eq!(queries.admitted.get(), ended + queries.open.get(), "class {name}");
--- a/crates/node/tests/host/queries.rs
+++ b/crates/node/tests/host/queries.rs
@@ -67,7 +67,7 @@
     harness.host.client_disconnected(id);
     harness.run_batches();
     harness.assert_idle();
-    assert_eq!(harness.counters.classes[ALL].queries.client_gone.get(), 1);
+    assert_eq!(harness.counters.classes[ALL].queries.client_disconnected.get(), 1);
     harness.host.client_disconnected(id);
     harness.run_batches();
     harness.advance(5000 * MS);
--- a/crates/settings/src/aliases.rs
+++ b/crates/settings/src/aliases.rs
@@ -79,7 +79,7 @@
     ///
     /// A [`FieldError`] when `init` is absent (key `init`), when `init.rename` or `init.words` is not an
     /// object, or when one of their values is not a string (key `init.rename.<name>`).
-    pub fn of(wire: &Value) -> Parsed<KeyAliases> {
+    pub fn from_wire_description(wire: &Value) -> Parsed<KeyAliases> {
         let init = wire.get(INIT_KEY).ok_or_else(|| FieldError::new(INIT_KEY, Problem::Missing))?;
         let mut to_wire = HashMap::new();
         for group in RENAME_GROUPS {
@@ -142,7 +142,8 @@
     let renames =
         renames.as_object().ok_or_else(|| FieldError::new(group, Problem::WrongType(Expected::Object)))?;
     for (own, theirs) in renames {
-        let theirs = theirs.as_str().ok_or_else(|| FieldError::new(own, Problem::NotAName).within(group))?;
+        let theirs =
+            theirs.as_str().ok_or_else(|| FieldError::new(own, Problem::NotAString).within(group))?;
         // A key that the settings don't read needs no alias.
         if let Some((_, wire_name)) = RENAMEABLE_KEYS.iter().find(|(known, _)| known == own) {
             to_wire.insert(theirs.to_owned(), (*wire_name).to_owned());
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -59,7 +59,7 @@
     NoNumberForClass(usize),
     /// A value of a wire description's renames is not a string.
     #[error("is no name")]
-    NotAName,
+    NotAString,
     /// A check of the caller's own failed on a value that the readers accepted; the text says what is wrong.
     #[error("{0}")]
     Invalid(String),
@@ -204,7 +204,7 @@
 /// # Errors
 ///
 /// The error of `read`.
-pub fn maybe<T>(value: &Value, name: &str, read: impl Fn(&Value, &str) -> Parsed<T>) -> Parsed<Option<T>> {
+pub fn optional<T>(value: &Value, name: &str, read: impl Fn(&Value, &str) -> Parsed<T>) -> Parsed<Option<T>> {
     if value.get(name).is_none_or(Value::is_null) {
         return Ok(None);
     }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,7 +1,7 @@
 //! Reading a settings object in the wire page's keys into a [`Deployment`].
 
 use crate::fields::{
-    count, count_u32, field, flag, list, maybe, micros, number, text, FieldError, Parsed, Problem,
+    count, count_u32, field, flag, list, micros, number, optional, text, FieldError, Parsed, Problem,
 };
 use crate::{Deployment, Transport};
 use pinetrestle::interface::{Class, Idempotency, Limits, Micros, RetryBudget, Rules, Settings, Tenant};
@@ -57,7 +57,7 @@
     let in_class = |error: FieldError| error.within(&format!("classes[{index}]"));
     Ok(Class {
         latency_objective: micros(class, "aim").map_err(in_class)?,
-        objective_work_factor: maybe(class, "aim_stretch", number)
+        objective_work_factor: optional(class, "aim_stretch", number)
             .map_err(in_class)?
             .unwrap_or(ABSENT_NUMBER),
         deadline: micros(class, "hard_limit").map_err(in_class)?,
@@ -79,7 +79,7 @@
         allow_hedging: flag(permissions, "may_duplicate")?,
         allow_cancel: flag(permissions, "cancel")?,
         send_retry_after: flag(permissions, "retry_after")?,
-        max_retry_after: maybe(permissions, "max_retry_after", micros)?.unwrap_or_default(),
+        max_retry_after: optional(permissions, "max_retry_after", micros)?.unwrap_or_default(),
         max_in_flight: count_u32(permissions, "most_held")?,
         max_batch: batch,
     })
@@ -87,13 +87,13 @@
 
 /// The retry budget, where `counted_over` states its window.
 fn read_retry_budget(rules: &Value) -> Parsed<Option<RetryBudget>> {
-    let Some(window) = maybe(rules, "counted_over", micros)? else {
+    let Some(window) = optional(rules, "counted_over", micros)? else {
         return Ok(None);
     };
     Ok(Some(RetryBudget {
         window,
-        min_retries: maybe(rules, "extra_floor", number)?.unwrap_or(ABSENT_NUMBER),
-        retry_ratio: maybe(rules, "extra_per_request", number)?.unwrap_or(ABSENT_NUMBER),
+        min_retries: optional(rules, "extra_floor", number)?.unwrap_or(ABSENT_NUMBER),
+        retry_ratio: optional(rules, "extra_per_request", number)?.unwrap_or(ABSENT_NUMBER),
     }))
 }
 
@@ -105,20 +105,20 @@
         warm_up_time: micros(rules, "warm_within")?,
         overload_multiple: number(rules, "tip_multiple")?,
         overload_window: micros(rules, "fall")?,
-        max_list_staleness: maybe(rules, "must_ask_in", micros)?.unwrap_or_default(),
+        max_list_staleness: optional(rules, "must_ask_in", micros)?.unwrap_or_default(),
         retry_budget,
     })
 }
 
 /// The connection figures, from `family_info.slabs` and the object `permissions`.
 fn read_transport(options: &Value, family_info: &Value) -> Parsed<Transport> {
-    let shards = maybe(family_info, "slabs", count_u32).map_err(|error| error.within("family_info"))?;
+    let shards = optional(family_info, "slabs", count_u32).map_err(|error| error.within("family_info"))?;
     read_nested(options, "permissions", |permissions| {
         Ok(Transport {
             shards,
-            streams_per_conn: maybe(permissions, "streams_per_conn", count_u32)?,
-            conn_idle: maybe(permissions, "conn_idle", micros)?,
-            connect_timeout: maybe(permissions, "connect_timeout", micros)?,
+            streams_per_conn: optional(permissions, "streams_per_conn", count_u32)?,
+            conn_idle: optional(permissions, "conn_idle", micros)?,
+            connect_timeout: optional(permissions, "connect_timeout", micros)?,
         })
     })
 }
@@ -137,7 +137,7 @@
     read: impl Fn(&Value, &str) -> Parsed<T>,
 ) -> Parsed<Option<T>> {
     match options.get(group) {
-        Some(found) => maybe(found, key, read).map_err(|error| error.within(group)),
+        Some(found) => optional(found, key, read).map_err(|error| error.within(group)),
         None => Ok(None),
     }
 }
@@ -168,7 +168,7 @@
         fleet_size: count_u32(options, "fleet_size")?,
         classes,
         tenants: tenants.collect::<Parsed<_>>()?,
-        over_quota_weight_share: maybe(options, "over_share_worth", number)?
+        over_quota_weight_share: optional(options, "over_share_worth", number)?
             .unwrap_or(DEFAULT_OVER_QUOTA_WEIGHT_SHARE),
         wasted_work_cost: read_optional_in(options, "fees", "waste", number)?.unwrap_or(ABSENT_NUMBER),
         clients_mark_retries: marks_retries.unwrap_or(false),
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -2,7 +2,7 @@
 //! and errors that name the failing key by its whole path.
 
 use pinetrestle::interface::{Idempotency, Micros};
-use pinetrestle_settings::fields::{count, field, maybe, text, Expected, FieldError, Parsed, Problem};
+use pinetrestle_settings::fields::{count, field, optional, text, Expected, FieldError, Parsed, Problem};
 use pinetrestle_settings::{Deployment, KeyAliases};
 use pinetrestle_standins::with_setting_aliases;
 use serde_json::{json, Value};
@@ -122,7 +122,7 @@
 fn aliased_settings_read_as_the_wire_page_names() {
     let (aliased_options, wire) = aliased_settings_and_wire_description();
     assert!(pinetrestle_settings::read(&aliased_options).is_err(), "they are not the wire page's");
-    let aliases = KeyAliases::of(&wire).expect("good aliases");
+    let aliases = KeyAliases::from_wire_description(&wire).expect("good aliases");
     let (aliased, wire_page) = (aliases.read(&aliased_options), pinetrestle_settings::read(&options()));
     assert_eq!(format!("{:?}", aliased.expect("read")), format!("{:?}", wire_page.expect("read")));
     let no_aliases = KeyAliases::default();
@@ -133,7 +133,7 @@
 fn errors_name_the_key_as_the_file_spells_it() {
     let (mut aliased_options, wire) = aliased_settings_and_wire_description();
     aliased_options["classes"][1]["gives_up_after"] = "soon".into();
-    let aliases = KeyAliases::of(&wire).expect("good aliases");
+    let aliases = KeyAliases::from_wire_description(&wire).expect("good aliases");
     let error = aliases.read(&aliased_options).expect_err("an error");
     assert_eq!(error.key, "classes[1].gives_up_after");
     for (bad, key) in [
@@ -141,7 +141,7 @@
         (json!({"init": {"rename": 3}}), "init.rename"),
         (json!({"init": {"rename": {"deadline": 3}}}), "init.rename.deadline"),
     ] {
-        assert_eq!(KeyAliases::of(&bad).expect_err("an error").key, key);
+        assert_eq!(KeyAliases::from_wire_description(&bad).expect_err("an error").key, key);
     }
 }
 
@@ -158,7 +158,7 @@
         (Problem::WrongType(Expected::Object), "field 'rules.fall' is not an object"),
         (Problem::OutOfRange, "field 'rules.fall' is out of range"),
         (Problem::NoNumberForClass(2), "field 'rules.fall' has no number for class 2"),
-        (Problem::NotAName, "field 'rules.fall' is no name"),
+        (Problem::NotAString, "field 'rules.fall' is no name"),
         (Problem::from("must be more than 0"), "field 'rules.fall' must be more than 0"),
     ];
     for (problem, message) in cases {
@@ -185,9 +185,12 @@
         assert_eq!(error.problem, problem, "{error}");
     }
     let not_a_name = json!({"init": {"rename": {"deadline": 3}}});
-    assert_eq!(KeyAliases::of(&not_a_name).expect_err("an error").problem, Problem::NotAName);
+    assert_eq!(
+        KeyAliases::from_wire_description(&not_a_name).expect_err("an error").problem,
+        Problem::NotAString
+    );
     let not_an_object = json!({"init": {"words": []}});
-    let error = KeyAliases::of(&not_an_object).expect_err("an error");
+    let error = KeyAliases::from_wire_description(&not_an_object).expect_err("an error");
     assert_eq!((error.key.as_str(), error.problem), ("init.words", Problem::WrongType(Expected::Object)));
 }
 
@@ -207,10 +210,10 @@
 #[test]
 fn field_readers_serve_other_files_and_empty_aliases_read_as_plain_settings() {
     let file = json!({"limits": {"sockets": 64}, "name": 3});
-    let sockets: Parsed<Option<u64>> = maybe(field(&file, "limits").expect("limits"), "sockets", count);
+    let sockets: Parsed<Option<u64>> = optional(field(&file, "limits").expect("limits"), "sockets", count);
     assert_eq!(sockets, Ok(Some(64)));
     assert_eq!(text(&file, "name").expect_err("not text").to_string(), "field 'name' is not text");
-    let aliases = KeyAliases::of(&json!({"init": {}})).expect("good aliases");
+    let aliases = KeyAliases::from_wire_description(&json!({"init": {}})).expect("good aliases");
     let read: Parsed<Deployment> = aliases.read(&json!({}));
     assert_eq!(read.expect_err("no settings").key, "family_info");
     assert_eq!(KeyAliases::default().read(&json!({})).expect_err("no settings").key, "family_info");
