--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one connection to an index server, shared by the pool that fills it and the task that drives it.
+//! State of one connection to an index server, shared by the connection pools and the task of the connection.
 
 use crate::close_reason::CloseReason;
 use crate::host::Endpoint;
@@ -10,34 +10,36 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// One connection to an index server.
+/// A connection to an index server.
 pub(super) struct Connection {
-    /// Its number among all connections to index servers.
+    /// Number of the connection, unique among all connections to index servers.
     pub(super) number: u64,
-    /// The replica that it was opened for.
+    /// Replica that the connection was opened to.
     pub(super) replica: ReplicaId,
-    /// The replica's endpoint as it was then.
+    /// Endpoint of the replica at the time the connection was opened.
     pub(super) endpoint: Endpoint,
-    /// Parts in flight and frames to be written.
-    pub(super) link: RefCell<ConnectionState>,
-    /// When it last got a call.
+    /// Protocol state: parts in flight and frames that have not been written yet.
+    pub(super) state: RefCell<ConnectionState>,
+    /// Time of the last call, or of creation if there has been none.
     pub(super) last_call_at: Cell<Instant>,
-    /// Calls that it got.
+    /// Number of calls sent on this connection.
     pub(super) calls: Cell<u64>,
-    /// Parts that it got.
+    /// Number of parts in these calls.
     pub(super) parts: Cell<u64>,
-    /// It takes no more calls and ends once nothing is in flight on it.
+    /// Whether the connection accepts no more calls. It then ends once no parts are in flight.
     closed_to_calls: Cell<bool>,
-    /// It was closed because too many parts in a row were cancelled with nothing received between.
+    /// Whether the connection was closed to calls because too many parts in a row were cancelled without
+    /// any bytes being received in between.
     unresponsive: Cell<bool>,
-    /// It was closed while idle to make room for a new connection, and holds no place in the pool any more.
+    /// Whether the connection was closed while idle to make room for a new one. It no longer counts towards
+    /// the maximum number of connections.
     evicted: Cell<bool>,
-    /// Notified when there may be something to write, or when it was closed to calls.
+    /// Notified when there may be frames to write, or when the connection was closed to calls.
     wake: Notify,
 }
 
 impl Connection {
-    /// A connection that is not established yet.
+    /// Creates the state of a connection that is not established yet.
     pub(super) fn new(
         number: u64,
         replica: ReplicaId,
@@ -48,7 +50,7 @@
             number,
             replica,
             endpoint,
-            link: RefCell::new(ConnectionState::new(frame_format)),
+            state: RefCell::new(ConnectionState::new(frame_format)),
             last_call_at: Cell::new(Instant::now()),
             calls: Cell::new(0),
             parts: Cell::new(0),
@@ -59,73 +61,77 @@
         }
     }
 
-    /// Counts a call of so many parts.
+    /// Counts a call with `parts` parts and records its time.
     pub(super) fn record_call(&self, parts: usize) {
         self.calls.set(self.calls.get() + 1);
         self.last_call_at.set(Instant::now());
         self.parts.set(self.parts.get() + parts as u64);
     }
 
-    /// Whether it may take these parts: with them no more than `max_streams` are in flight, unless none is now, and
-    /// fewer than `max_backlog` bytes wait to be written.
+    /// Returns whether a call with these parts may be sent on this connection.
+    ///
+    /// The connection must accept calls and have fewer than `max_unwritten_bytes` bytes queued for writing,
+    /// and each part id must be [available](ConnectionState::is_id_available). With the new parts, at most
+    /// `max_streams` parts may be in flight; a connection with no parts in flight accepts a call of any
+    /// size.
     pub(super) fn has_capacity(
         &self,
         parts: &[OutgoingPart],
         max_streams: usize,
-        max_backlog: usize,
+        max_unwritten_bytes: usize,
     ) -> bool {
-        let link = self.link.borrow();
-        let has_streams = link.in_flight() == 0 || link.in_flight() + parts.len() <= max_streams;
+        let state = self.state.borrow();
+        let has_streams = state.in_flight() == 0 || state.in_flight() + parts.len() <= max_streams;
         !self.closed_to_calls.get()
             && has_streams
-            && link.unwritten_bytes() < max_backlog
-            && parts.iter().all(|part| link.is_id_available(&part.id))
+            && state.unwritten_bytes() < max_unwritten_bytes
+            && parts.iter().all(|part| state.is_id_available(&part.id))
     }
 
-    /// Whether nothing is in flight on it and nothing waits to be written.
+    /// Returns whether no parts are in flight and no bytes are queued for writing.
     pub(super) fn is_idle(&self) -> bool {
-        let link = self.link.borrow();
-        link.in_flight() == 0 && link.unwritten_bytes() == 0
+        let state = self.state.borrow();
+        state.in_flight() == 0 && state.unwritten_bytes() == 0
     }
 
-    /// Lets the driver look at what is to be written and whether to end.
+    /// Wakes the task of the connection, so that it writes pending frames or closes the connection.
     pub(super) fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Waits for [`Connection::wake`], also for one since the last wait.
+    /// Waits for a call of [`Connection::wake`]. Returns at once if there was one since the previous wait.
     pub(super) async fn woken(&self) {
         self.wake.notified().await;
     }
 
-    /// Takes no more calls from now on.
+    /// Stops accepting calls.
     pub(super) fn close_to_calls(&self) {
         self.closed_to_calls.set(true);
     }
 
-    /// Takes no more calls since nothing is received on it.
+    /// Stops accepting calls because the index server no longer sends any bytes on this connection.
     pub(super) fn close_as_unresponsive(&self) {
         self.unresponsive.set(true);
         self.closed_to_calls.set(true);
     }
 
-    /// Takes no more calls since its place in the pool was given to another connection.
+    /// Stops accepting calls because another connection is opened in place of this one.
     pub(super) fn evict(&self) {
         self.evicted.set(true);
         self.closed_to_calls.set(true);
     }
 
-    /// Whether it takes no more calls.
+    /// Returns whether the connection accepts no more calls.
     pub(super) fn is_closed_to_calls(&self) -> bool {
         self.closed_to_calls.get()
     }
 
-    /// Whether its place in the pool was given to another connection.
+    /// Returns whether another connection was opened in place of this one.
     pub(super) fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 
-    /// Why it ends, where it was closed to calls and nothing is in flight on it any more.
+    /// Returns the close reason of a connection that was closed to calls and has no more parts in flight.
     pub(super) fn close_reason(&self) -> CloseReason {
         if self.unresponsive.get() {
             CloseReason::Unresponsive
--- a/crates/node/src/upstream/driver.rs
+++ b/crates/node/src/upstream/driver.rs
@@ -1,4 +1,4 @@
-//! The task that takes one connection to an index server from its connect to its end.
+//! The task of one connection to an index server: opens the connection, serves it and reports its end.
 
 use super::connection::Connection;
 use super::transfer::Transfer;
@@ -19,31 +19,32 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The shortest sleep before the idle timeout is checked again.
+/// Minimum delay before the idle timeout is checked again.
 const MIN_IDLE_SLEEP: Duration = Duration::from_millis(1);
 
-/// Drives one connection.
+/// The task of one connection.
 pub(super) struct Driver {
-    /// The connection, shared with the pool.
+    /// State of the connection, shared with the connection pools.
     pub(super) connection: Rc<Connection>,
-    /// What all connections share.
+    /// State shared by all connections.
     pub(super) shared: Rc<Shared>,
-    /// The index server's address.
+    /// Address of the index server.
     pub(super) address: SocketAddr,
 }
 
 impl Driver {
-    /// Connects, serves until the connection ends, and tells the event loop.
+    /// Opens the connection, serves it until it ends, and then counts and logs its end and reports it to
+    /// the event loop.
     pub(super) async fn run(self) {
-        let begun = Instant::now();
-        let mut transfer = Transfer::new(self.connection.clone(), self.shared.clone(), begun);
-        let reason = match self.connect(begun).await {
+        let started_at = Instant::now();
+        let mut transfer = Transfer::new(self.connection.clone(), self.shared.clone(), started_at);
+        let reason = match self.connect(started_at).await {
             Ok(stream) => self.serve(&stream, &mut transfer).await,
             Err(reason) => reason,
         };
         self.connection.close_to_calls();
-        self.count_end(reason);
-        self.log_end(reason, begun, &transfer);
+        self.count_close(reason);
+        self.log_close(reason, started_at, &transfer);
         let closed = Message::ConnectionClosed {
             replica: self.connection.replica,
             connection: self.connection.number,
@@ -52,8 +53,8 @@
         self.shared.send(closed).await;
     }
 
-    async fn connect(&self, begun: Instant) -> Result<TcpStream, CloseReason> {
-        let deadline = begun + self.shared.live_config.get().transport.connect_timeout;
+    async fn connect(&self, started_at: Instant) -> Result<TcpStream, CloseReason> {
+        let deadline = started_at + self.shared.live_config.get().transport.connect_timeout;
         match before_deadline(deadline, connect(self.address, deadline)).await {
             None => Err(CloseReason::ConnectTimeout),
             Some(Ok(stream)) => Ok(stream),
@@ -65,9 +66,10 @@
         }
     }
 
-    /// Reads and writes until the connection ends; returns why it did.
+    /// Reads and writes frames until the connection ends. Returns the close reason.
     async fn serve(&self, stream: &TcpStream, transfer: &mut Transfer) -> CloseReason {
-        // Without it frames would wait for acknowledgements; the connection works all the same.
+        // With Nagle's algorithm, small frames would wait for the acknowledgement of earlier ones. A
+        // failure to disable it is ignored, because the connection works either way.
         let _ = stream.set_nodelay(true);
         self.shared
             .instruments
@@ -75,16 +77,17 @@
             .record(|| Record::for_query(EventKind::ConnectionUp, 0).on_connection(self.connection.number));
         transfer.established(Instant::now());
         loop {
-            // Read before anything is written: a connection that the index server has ended takes no more calls.
+            // Reads before writing, so that no call is written if the index server has already closed the
+            // connection.
             if let Some(reason) = transfer.read_available(stream).await {
                 return reason;
             }
             let now = self.shared.now_micros();
             self.withdraw_expired(now).await;
-            if self.connection.link.borrow().has_expired_partial_write(now) {
+            if self.connection.state.borrow().has_expired_partial_write(now) {
                 return CloseReason::WriteStalled;
             }
-            self.connection.link.borrow_mut().refresh_times_left(now);
+            self.connection.state.borrow_mut().refresh_times_left(now);
             match transfer.write_pending(stream) {
                 Ok(()) => {}
                 Err(error) if is_out_of_buffers(&error) => {
@@ -102,36 +105,39 @@
         }
     }
 
-    /// Withdraws parts that have waited here for too long, for the connection to be established or for capacity on it;
-    /// after a pause of the machine also those whose deadline has passed while the end of their query is still to be
-    /// decided.
+    /// Withdraws the unwritten parts whose deadline or latest start time has passed, and reports them to
+    /// the event loop.
+    ///
+    /// A part may wait for the connection to be established or for the socket to be writable. After a pause
+    /// of the machine, the deadline of a part may also have passed before the decision core has ended its
+    /// query.
     async fn withdraw_expired(&self, now: u64) {
         let is_expired =
             |part: &OutgoingPart| part.deadline_us <= now || part.start_before_us.is_some_and(|by| by <= now);
-        let expired = self.connection.link.borrow_mut().withdraw_unstarted(is_expired);
+        let expired = self.connection.state.borrow_mut().withdraw_unstarted(is_expired);
         if !expired.is_empty() {
             self.shared.send(Message::AttemptsUnsent(expired)).await;
         }
     }
 
-    /// Waits until there is something to read or to write, or a timeout has passed. Returns why the connection has
-    /// to end, if it has.
+    /// Waits until the connection can be read, frames can be written, or a timeout passes. Returns the
+    /// close reason if the connection has to be closed.
     async fn wait(&self, stream: &TcpStream, transfer: &Transfer) -> Option<CloseReason> {
         let timeouts = self.timeouts();
         if transfer.frame_age().is_some_and(|age| age >= timeouts.frame) {
             return Some(CloseReason::StalledMidFrame);
         }
-        let next_write = self.connection.link.borrow().next_write_us();
+        let next_write = self.connection.state.borrow().next_write_us();
         let write_due = next_write.is_some_and(|at| at <= self.shared.now_micros());
         let interest = if write_due { Interest::READABLE | Interest::WRITABLE } else { Interest::READABLE };
-        let write_at = self.shared.start + Duration::from_micros(next_write.unwrap_or_default());
-        let frame_deadline = transfer.frame_begun_at().map(|begun| begun + timeouts.frame);
+        let write_at = self.shared.clock_start + Duration::from_micros(next_write.unwrap_or_default());
+        let frame_deadline = transfer.frame_started_at().map(|started_at| started_at + timeouts.frame);
         let idle_left = timeouts.idle.saturating_sub(transfer.idle_time());
         tokio::select! {
             ready = stream.ready(interest) => ready.err().map(|error: io::Error| CloseReason::from(&error)),
             () = self.connection.woken() => None,
             () = sleep_until(write_at), if next_write.is_some() && !write_due => None,
-            // What has come meanwhile is read before the timeout counts.
+            // Yields, so that bytes that arrived before the deadline are read before the timeout is applied.
             () = sleep_until(frame_deadline.unwrap_or_else(Instant::now)), if frame_deadline.is_some() => {
                 yield_now().await;
                 None
@@ -151,12 +157,12 @@
         if !self.connection.is_idle() || transfer.idle_time() < idle_timeout {
             return None;
         }
-        // Before any other task runs, so that no call is added.
+        // Closed here, without an await in between, so that no other task can send a call on it first.
         self.connection.close_to_calls();
         Some(CloseReason::IdleTimeout)
     }
 
-    fn count_end(&self, reason: CloseReason) {
+    fn count_close(&self, reason: CloseReason) {
         let counters = &self.shared.instruments.counters;
         if self.connection.is_evicted() {
             self.shared.evicting.set(self.shared.evicting.get() - 1);
@@ -167,13 +173,13 @@
         counters.closes.increment("index_server", reason.code());
     }
 
-    fn log_end(&self, reason: CloseReason, begun: Instant, transfer: &Transfer) {
+    fn log_close(&self, reason: CloseReason, started_at: Instant, transfer: &Transfer) {
         let connection = &self.connection;
-        let late = connection.link.borrow().late_answers;
-        let in_flight = connection.link.borrow().in_flight();
+        let late = connection.state.borrow().late_answers;
+        let in_flight = connection.state.borrow().in_flight();
         info!(self.shared.instruments.log, "connection ended"; "side" => "index_server",
             "peer" => %self.address, "name" => &connection.endpoint.name,
-            "age_ms" => begun.elapsed().as_millis() as u64, "calls" => connection.calls.get(),
+            "age_ms" => started_at.elapsed().as_millis() as u64, "calls" => connection.calls.get(),
             "parts" => connection.parts.get(), "lost" => in_flight, "late" => late,
             "in" => transfer.bytes_in(), "out" => transfer.bytes_out(), "reason" => %reason);
         let record = || {
@@ -185,10 +191,10 @@
     }
 }
 
-/// The timeouts of an established connection, as the configuration in force has them.
+/// Timeouts of an established connection, from the current configuration.
 struct Timeouts {
-    /// How long it may be without traffic.
+    /// Maximum time without traffic.
     idle: Duration,
-    /// How long a frame may take from its first byte to its last.
+    /// Maximum time between reading the first byte of a frame and its last.
     frame: Duration,
 }
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,8 +1,17 @@
 //! Connections to index servers.
 //!
-//! [`ConnectionPools`] (`pool`) chooses the connection that carries a call, opening or evicting one where needed. A
-//! [`Connection`](connection::Connection) is the state that the pool shares with the task that drives it: `driver`
-//! takes one connection from its connect to its end, and `transfer` reads and writes its frames.
+//! The decision core knows an index server as a replica, identified by its number ([`ReplicaId`]). An
+//! attempt sends one part of a query to one replica. A call is a frame that carries the parts of one or
+//! more attempts to the same replica.
+//!
+//! - `pool`: [`ConnectionPools`] chooses the connection for each call, and opens or evicts connections as
+//!   needed.
+//! - `connection`: a [`Connection`](connection::Connection) is the state that the pools share with the task
+//!   of the connection.
+//! - `driver`: the task of one connection, which opens it, serves it until it ends, and reports its end.
+//! - `transfer`: reads and writes the frames of one connection.
+//!
+//! [`ReplicaId`]: pinetrestle::interface::ReplicaId
 
 mod connection;
 mod driver;
@@ -22,39 +31,40 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Where connections count, log, record and check what they do.
+/// Counters, log, flight recorder and invariant checks of the connections.
 pub(crate) struct Instruments {
-    /// The counters of `/stats`.
+    /// Counters reported by `GET /stats`.
     pub(crate) counters: Rc<Counters>,
-    /// Logs one line a connection.
+    /// Log that receives one line when a connection ends.
     pub(crate) log: Logger,
-    /// Records each event of a part.
+    /// Flight recorder for the events of parts and connections.
     pub(crate) recorder: Rc<Recorder>,
-    /// Checks each part as its first byte is written.
+    /// Invariants, checked when the write of a part starts.
     pub(crate) invariants: Rc<Invariants>,
 }
 
-/// What the pools share with the drivers of all connections.
+/// State shared by the pools and the tasks of all connections.
 struct Shared {
     live_config: Rc<LiveConfig>,
     to_event_loop: mpsc::Sender<Message>,
     instruments: Instruments,
-    /// The buffer that every connection reads into: an idle connection holds none of its own.
+    /// Buffer for the bytes of a read, shared by all connections so that idle connections need no buffer.
     read_buffer: RefCell<Vec<u8>>,
-    /// Connections that were evicted and have not ended yet. They hold descriptors but no place in the pool.
+    /// Number of evicted connections that have not ended yet. Each still holds a file descriptor, but does
+    /// not count towards `max_server_connections`.
     evicting: Cell<usize>,
-    /// When the host's clock stood at 0.
-    start: Instant,
+    /// Time at which the host's clock started, i.e. its time 0.
+    clock_start: Instant,
 }
 
 impl Shared {
-    /// The host's clock in microseconds.
+    /// Returns the time of the host's clock in microseconds.
     fn now_micros(&self) -> u64 {
-        self.start.elapsed().as_micros() as u64
+        self.clock_start.elapsed().as_micros() as u64
     }
 
     async fn send(&self, message: Message) {
-        // The receiver is there as long as the program serves.
+        // Sending fails only if the event loop has ended, when messages are no longer needed.
         let _ = self.to_event_loop.send(message).await;
     }
 }
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! The connections to all index servers: which one carries a call, and what was in flight on one that ends.
+//! Connection pools: choose the connection for each call, and keep track of which connection carries which
+//! attempt.
 
 use super::connection::Connection;
 use super::driver::Driver;
@@ -18,35 +19,34 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Bytes of one read.
+/// Size of the read buffer that all connections share, in bytes.
 const READ_SIZE: usize = 16 * 1024;
-/// Connections that were evicted and have not ended yet, at most: they hold descriptors beside those within
-/// `server_connections`.
+/// Maximum number of evicted connections that have not ended yet. They hold file descriptors in addition to
+/// those of the connections limited by the configuration key `server_connections`.
 const MAX_EVICTING: usize = 16;
-/// The detail in the flight recorder of a connection that was closed as unresponsive.
+/// Detail of [`EventKind::ConnectionDraining`] records for connections that were closed as unresponsive.
 const CLOSED_UNRESPONSIVE: u8 = 1;
 
-/// The connections to all index servers.
+/// The connections to all index servers, in one pool per replica.
 pub(crate) struct ConnectionPools {
     shared: Rc<Shared>,
     by_replica: HashMap<ReplicaId, Vec<Rc<Connection>>>,
     /// The connection that carries each attempt in flight.
     by_attempt: HashMap<AttemptId, Rc<Connection>>,
-    /// The deployment allows a cancel to be sent to an index server.
-    sends_cancels: bool,
-    /// The format of frames.
+    /// Whether the settings of the deployment allow cancel frames to be sent to index servers.
+    allow_cancel: bool,
     frame_format: Rc<FrameFormat>,
-    /// The number of the connection opened last.
+    /// Number of the connection opened last.
     last_number: u64,
 }
 
 impl ConnectionPools {
-    /// Pools without connections; the host's clock stood at 0 at `start`.
+    /// Creates pools without connections. `clock_start` is the time 0 of the host's clock.
     pub(crate) fn new(
         live_config: Rc<LiveConfig>,
         to_event_loop: mpsc::Sender<Message>,
         instruments: Instruments,
-        start: Instant,
+        clock_start: Instant,
     ) -> ConnectionPools {
         let config = live_config.get();
         let shared = Shared {
@@ -55,19 +55,24 @@
             instruments,
             read_buffer: RefCell::new(vec![0; READ_SIZE]),
             evicting: Cell::new(0),
-            start,
+            clock_start,
         };
         ConnectionPools {
             shared: Rc::new(shared),
             by_replica: HashMap::new(),
             by_attempt: HashMap::new(),
-            sends_cancels: config.deployment.settings.limits.allow_cancel,
+            allow_cancel: config.deployment.settings.limits.allow_cancel,
             frame_format: Rc::new(config.names.wire.frame_format.clone()),
             last_number: 0,
         }
     }
 
-    /// Sends a call. Returns the attempts that found no connection, or whose part is in flight on it already.
+    /// Queues a call with these parts on a connection to the replica, which is opened if needed.
+    ///
+    /// Returns the attempts that were not queued: all of them if no connection is available, otherwise
+    /// those whose part id can't be used on the connection (see [`ConnectionState::queue_call`]).
+    ///
+    /// [`ConnectionState::queue_call`]: pinetrestle_protocol::connection::ConnectionState::queue_call
     pub(crate) fn send(
         &mut self,
         replica: ReplicaId,
@@ -75,7 +80,7 @@
         parts: Vec<OutgoingPart>,
     ) -> Vec<AttemptId> {
         let Some(connection) = self.find_or_open(replica, endpoint, &parts) else {
-            self.note_no_connection(replica, &parts);
+            self.record_no_connection(replica, &parts);
             return parts.iter().map(|part| part.attempt_id).collect();
         };
         self.shared.instruments.counters.connections.calls.increment();
@@ -89,13 +94,13 @@
             };
             self.shared.instruments.recorder.record(record);
         }
-        let unsent = connection.link.borrow_mut().queue_call(self.shared.now_micros(), parts);
+        let unsent = connection.state.borrow_mut().queue_call(self.shared.now_micros(), parts);
         connection.wake();
         self.attempts_withdrawn(&unsent);
         unsent
     }
 
-    fn note_no_connection(&self, replica: ReplicaId, parts: &[OutgoingPart]) {
+    fn record_no_connection(&self, replica: ReplicaId, parts: &[OutgoingPart]) {
         let instruments = &self.shared.instruments;
         instruments.counters.connections.servers_exhausted.increment();
         for part in parts {
@@ -104,7 +109,10 @@
         }
     }
 
-    /// A connection with capacity for the parts, opened if none has it.
+    /// Returns a connection to the replica that has capacity for the parts, and opens one if there is none.
+    ///
+    /// Returns `None` if the address of the endpoint can't be parsed, or if the maximum number of
+    /// connections is open and none of them can be evicted.
     fn find_or_open(
         &mut self,
         replica: ReplicaId,
@@ -114,10 +122,11 @@
         self.close_outdated(replica, endpoint);
         let config = self.shared.live_config.get();
         let max_streams = config.transport.max_streams;
-        let max_backlog = config.transport.max_write_backlog;
+        let max_unwritten_bytes = config.transport.max_write_backlog;
         let pool = self.by_replica.get(&replica).map_or(&[][..], Vec::as_slice);
-        let found = pool.iter().find(|connection| connection.has_capacity(parts, max_streams, max_backlog));
-        if let Some(connection) = found {
+        let with_capacity =
+            pool.iter().find(|connection| connection.has_capacity(parts, max_streams, max_unwritten_bytes));
+        if let Some(connection) = with_capacity {
             return Some(connection.clone());
         }
         let address: SocketAddr = endpoint.address.parse().ok()?;
@@ -129,8 +138,8 @@
         Some(self.open(replica, endpoint, address))
     }
 
-    /// Closes connections to an endpoint that the replica has left, or to an earlier incarnation of its server: what is
-    /// in flight may still be answered, nothing is added.
+    /// Closes the replica's connections to a previous address or an earlier incarnation of the index server
+    /// to new calls. Parts in flight on them may still be answered.
     fn close_outdated(&self, replica: ReplicaId, endpoint: &Endpoint) {
         for connection in self.by_replica.get(&replica).into_iter().flatten() {
             if connection.endpoint != *endpoint && !connection.is_closed_to_calls() {
@@ -159,16 +168,18 @@
         connection
     }
 
-    /// Closes the idle connection whose last call is longest ago; its place is free at once. False where none is idle,
-    /// or too many that were evicted have not ended yet.
+    /// Closes the least recently used idle connection, so that another one can be opened immediately.
+    /// Returns false if no connection is idle, or if [`MAX_EVICTING`] evicted connections have not ended
+    /// yet.
     fn evict_least_recently_used(&self) -> bool {
         if self.shared.evicting.get() >= MAX_EVICTING {
             return false;
         }
         let all = self.by_replica.values().flatten();
         let idle = all.filter(|connection| !connection.is_closed_to_calls() && connection.is_idle());
-        let oldest = idle.min_by_key(|connection| (connection.last_call_at.get(), connection.number));
-        let Some(connection) = oldest else { return false };
+        let least_recently_used =
+            idle.min_by_key(|connection| (connection.last_call_at.get(), connection.number));
+        let Some(connection) = least_recently_used else { return false };
         connection.evict();
         connection.wake();
         self.shared.evicting.set(self.shared.evicting.get() + 1);
@@ -176,12 +187,15 @@
         true
     }
 
-    /// Cancels an attempt: a part that is not written yet is not sent, and for any other a cancel is sent where the
-    /// deployment allows it.
+    /// Cancels an attempt. If the write of its call has not started, its part is not sent. Otherwise a
+    /// cancel frame is sent, if the settings of the deployment allow it.
+    ///
+    /// Closes the connection to new calls if too many parts were cancelled on it without any bytes being
+    /// received.
     pub(crate) fn cancel(&mut self, attempt_id: AttemptId) {
         let Some(connection) = self.by_attempt.remove(&attempt_id) else { return };
         let recorder = &self.shared.instruments.recorder;
-        let cancelled = connection.link.borrow_mut().cancel(attempt_id, self.sends_cancels);
+        let cancelled = connection.state.borrow_mut().cancel(attempt_id, self.allow_cancel);
         if let Some(part) = cancelled {
             recorder.record(|| {
                 Record::for_part(EventKind::AttemptCancelled, &part.id)
@@ -190,9 +204,9 @@
             });
         }
         let max_cancels = self.shared.live_config.get().transport.max_cancels_without_reply;
-        if connection.link.borrow().cancels_without_reply() as usize >= max_cancels {
-            // The index server may be gone without closing it: what is in flight may still be answered, and the next
-            // call opens another connection.
+        if connection.state.borrow().cancels_without_reply() as usize >= max_cancels {
+            // The index server may have failed without closing the connection. Parts in flight may still be
+            // answered, but the next call is sent on another connection.
             connection.close_as_unresponsive();
             recorder.record(|| {
                 Record::for_query(EventKind::ConnectionDraining, 0)
@@ -203,15 +217,16 @@
         connection.wake();
     }
 
-    /// An attempt was answered.
+    /// Removes an attempt that was answered.
     pub(crate) fn attempt_answered(&mut self, attempt_id: AttemptId) {
         self.by_attempt.remove(&attempt_id);
     }
 
-    /// Removes a connection that has ended and returns what was in flight on it.
+    /// Removes a connection that has ended. Returns its attempts that were in flight and its calls that
+    /// were not sent.
     pub(crate) fn connection_closed(&mut self, replica: ReplicaId, number: u64) -> ClosedConnection {
         let Some(connection) = self.remove(replica, number) else { return ClosedConnection::default() };
-        let closed = connection.link.take().close();
+        let closed = connection.state.take().close();
         for attempt in &closed.lost_attempts {
             self.by_attempt.remove(&attempt.attempt_id);
         }
@@ -231,29 +246,31 @@
         Some(connection)
     }
 
-    /// Closes the connections to an index server that drains or has left the endpoint list: each ends as soon as
-    /// nothing is in flight on it. Returns the attempts of which nothing was written yet.
+    /// Closes the connections to a replica that is draining or was removed from the endpoint list. Each
+    /// connection ends once no parts are in flight on it. Returns the attempts that were withdrawn because
+    /// the write of their call had not started.
     pub(crate) fn drain_replica(&mut self, replica: ReplicaId) -> Vec<AttemptId> {
         let mut unsent = Vec::new();
         for connection in self.by_replica.get(&replica).into_iter().flatten() {
             connection.close_to_calls();
-            unsent.extend(connection.link.borrow_mut().withdraw_unstarted(|_| true));
+            unsent.extend(connection.state.borrow_mut().withdraw_unstarted(|_| true));
             connection.wake();
         }
         self.attempts_withdrawn(&unsent);
         unsent
     }
 
-    /// Withdraws an attempt if nothing of it is written yet; returns whether it was withdrawn.
+    /// Withdraws an attempt if the write of its call has not started. Returns whether it was withdrawn.
     pub(crate) fn withdraw(&mut self, attempt_id: AttemptId) -> bool {
         let Some(connection) = self.by_attempt.get(&attempt_id) else { return false };
-        let withdrawn = connection.link.borrow_mut().withdraw_unstarted(|part| part.attempt_id == attempt_id);
+        let withdrawn =
+            connection.state.borrow_mut().withdraw_unstarted(|part| part.attempt_id == attempt_id);
         connection.wake();
         self.attempts_withdrawn(&withdrawn);
         !withdrawn.is_empty()
     }
 
-    /// Attempts were withdrawn before anything of them was written.
+    /// Removes attempts that were withdrawn before the write of their call started.
     pub(crate) fn attempts_withdrawn(&mut self, attempt_ids: &[AttemptId]) {
         for attempt_id in attempt_ids {
             self.by_attempt.remove(attempt_id);
--- a/crates/node/src/upstream/transfer.rs
+++ b/crates/node/src/upstream/transfer.rs
@@ -15,76 +15,80 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-/// Frames of one gathered write, at most.
+/// Maximum number of slices in one vectored write.
 const MAX_SLICES: usize = 64;
-/// Reads of one connection in a row, at most, so that other tasks get their turn.
+/// Maximum number of consecutive reads from one connection, so that other tasks can run.
 const MAX_READS: usize = 4;
-/// Microseconds by which a part may be begun late before that counts as a violation: the process may be paused between
-/// its last look at the clock and the write.
+/// Delay in microseconds by which the write of a part may start late without counting as a violation. The
+/// process may be paused between reading the clock and writing.
 const LATE_TOLERANCE_MICROS: u64 = 150_000;
 
-/// Codes of answers in the flight recorder.
+// Details of `EventKind::AnswerRead` records in the flight recorder: the outcome of the answer, or that it
+// was late.
 const SERVED: u8 = 0;
 const ERROR: u8 = 1;
 const REJECTED: u8 = 2;
 const LATE: u8 = 3;
 
-/// The bytes of one connection: how many were read and written, and when.
+/// Reads and writes the frames of one connection, and keeps its byte counts and the times of its traffic.
 pub(super) struct Transfer {
     connection: Rc<Connection>,
     shared: Rc<Shared>,
     bytes_in: u64,
     bytes_out: u64,
-    /// When bytes were last read or written.
+    /// Time at which bytes were last read or written, or at which the connection was established.
     last_activity: Instant,
-    /// When the first byte was read of a frame that is not complete yet.
-    frame_begun_at: Option<Instant>,
+    /// Time at which the first byte of the partially received frame was read, if there is one.
+    frame_started_at: Option<Instant>,
 }
 
 impl Transfer {
-    /// Nothing was read or written yet.
+    /// Creates the state of a connection on which nothing has been read or written.
     pub(super) fn new(connection: Rc<Connection>, shared: Rc<Shared>, now: Instant) -> Transfer {
-        Transfer { connection, shared, bytes_in: 0, bytes_out: 0, last_activity: now, frame_begun_at: None }
+        Transfer { connection, shared, bytes_in: 0, bytes_out: 0, last_activity: now, frame_started_at: None }
     }
 
-    /// The connection is established: its idle time runs from now on.
+    /// Starts the idle time of the connection, which was established at `now`.
     pub(super) fn established(&mut self, now: Instant) {
         self.last_activity = now;
     }
 
-    /// Bytes read.
+    /// Returns the number of bytes read.
     pub(super) fn bytes_in(&self) -> u64 {
         self.bytes_in
     }
 
-    /// Bytes written.
+    /// Returns the number of bytes written.
     pub(super) fn bytes_out(&self) -> u64 {
         self.bytes_out
     }
 
-    /// How long nothing was read or written.
+    /// Returns the time since bytes were last read or written.
     pub(super) fn idle_time(&self) -> Duration {
         self.last_activity.elapsed()
     }
 
-    /// When the first byte was read of a frame that is not complete yet.
-    pub(super) fn frame_begun_at(&self) -> Option<Instant> {
-        self.frame_begun_at
+    /// Returns the time at which the first byte of the partially received frame was read, or `None` if
+    /// there is no such frame.
+    pub(super) fn frame_started_at(&self) -> Option<Instant> {
+        self.frame_started_at
     }
 
-    /// The time since then.
+    /// Returns the time since the first byte of the partially received frame was read, or `None` if there
+    /// is no such frame.
     pub(super) fn frame_age(&self) -> Option<Duration> {
-        self.frame_begun_at.map(|begun| begun.elapsed())
+        self.frame_started_at.map(|started_at| started_at.elapsed())
     }
 
-    /// Reads what has come, up to [`MAX_READS`] times. Returns why the connection has to end, if it has.
+    /// Reads the available bytes with at most [`MAX_READS`] reads and processes them. Returns the close
+    /// reason if the connection has to be closed.
     pub(super) async fn read_available(&mut self, stream: &TcpStream) -> Option<CloseReason> {
         for _ in 0..MAX_READS {
             let read = retry_interrupted(|| stream.try_read(&mut self.shared.read_buffer.borrow_mut()));
             match read {
-                Ok(0) => return Some(self.end_reason()),
+                Ok(0) => return Some(self.peer_close_reason()),
                 Ok(count) => {
-                    if let Err(reason) = self.take_bytes(count).await {
+                    if let Err(reason) = self.process_received(count).await {
                         return Some(reason);
                     }
                 }
@@ -99,16 +103,17 @@
         None
     }
 
-    fn end_reason(&self) -> CloseReason {
-        if self.connection.link.borrow().is_mid_frame() {
+    fn peer_close_reason(&self) -> CloseReason {
+        if self.connection.state.borrow().is_mid_frame() {
             CloseReason::PeerClosedMidFrame
         } else {
             CloseReason::PeerClosed
         }
     }
 
-    /// Takes the first `count` bytes of the read buffer and passes the answers in them on.
-    async fn take_bytes(&mut self, count: usize) -> Result<(), CloseReason> {
+    /// Processes the first `count` bytes of the read buffer and sends the answers that they complete to the
+    /// event loop.
+    async fn process_received(&mut self, count: usize) -> Result<(), CloseReason> {
         self.bytes_in += count as u64;
         self.last_activity = Instant::now();
         let instruments = &self.shared.instruments;
@@ -118,24 +123,25 @@
             Record::for_query(EventKind::BytesRead, 0).on_connection(number).with_value(count as u64)
         });
 
-        let link = &self.connection.link;
-        let late_before = link.borrow().late_answers;
-        let frames_before = link.borrow().complete_frames();
-        link.borrow_mut().feed(&self.shared.read_buffer.borrow()[..count]);
-        self.pass_answers_on().await?;
-        let link = link.borrow();
-        instruments.counters.attempts.late_answers.add(link.late_answers - late_before);
-        if !link.is_mid_frame() {
-            self.frame_begun_at = None;
-        } else if self.frame_begun_at.is_none() || link.complete_frames() > frames_before {
-            self.frame_begun_at = Some(self.last_activity);
+        let state = &self.connection.state;
+        let late_before = state.borrow().late_answers;
+        let frames_before = state.borrow().complete_frames();
+        state.borrow_mut().feed(&self.shared.read_buffer.borrow()[..count]);
+        self.forward_answers().await?;
+        let state = state.borrow();
+        instruments.counters.attempts.late_answers.add(state.late_answers - late_before);
+        if !state.is_mid_frame() {
+            self.frame_started_at = None;
+        } else if self.frame_started_at.is_none() || state.complete_frames() > frames_before {
+            self.frame_started_at = Some(self.last_activity);
         }
         Ok(())
     }
 
-    async fn pass_answers_on(&self) -> Result<(), CloseReason> {
+    async fn forward_answers(&self) -> Result<(), CloseReason> {
         loop {
-            let answer = self.connection.link.borrow_mut().next_answer(|heard| self.record_answer(heard));
+            let answer =
+                self.connection.state.borrow_mut().next_answer(|received| self.record_answer(received));
             match answer {
                 Ok(Some(answer)) => self.shared.send(Message::AttemptAnswered(answer)).await,
                 Ok(None) => return Ok(()),
@@ -146,7 +152,7 @@
 
     fn record_answer(&self, answer: ReceivedAnswer<'_>) {
         self.shared.instruments.recorder.record(|| {
-            let end = match answer.outcome {
+            let detail = match answer.outcome {
                 _ if answer.late => LATE,
                 PartOutcome::Served => SERVED,
                 PartOutcome::Error => ERROR,
@@ -154,18 +160,18 @@
             };
             Record::for_part(EventKind::AnswerRead, answer.id)
                 .on_connection(self.connection.number)
-                .with_detail(end)
+                .with_detail(detail)
         });
     }
 
-    /// Writes frames until none is due or the socket takes no more.
+    /// Writes the frames that may be written now, until all are written or the socket accepts no more bytes.
     pub(super) fn write_pending(&mut self, stream: &TcpStream) -> io::Result<()> {
         loop {
             match self.write_once(stream) {
                 Ok(None) => return Ok(()),
                 Ok(Some(count)) => {
                     self.connection
-                        .link
+                        .state
                         .borrow_mut()
                         .on_written(count, |written| self.record_written(written));
                     self.bytes_out += count as u64;
@@ -178,11 +184,12 @@
         }
     }
 
-    /// Makes one gathered write of the frames that are due; `None` where none is.
+    /// Makes one vectored write of the frames that may be written now, and returns the number of bytes
+    /// written, or `None` if there are no such frames.
     fn write_once(&self, stream: &TcpStream) -> io::Result<Option<usize>> {
-        let link = self.connection.link.borrow();
+        let state = self.connection.state.borrow();
         let mut slices: Vec<IoSlice<'_>> = Vec::new();
-        link.pending_slices(self.shared.now_micros(), &mut slices, MAX_SLICES);
+        state.pending_slices(self.shared.now_micros(), &mut slices, MAX_SLICES);
         if slices.is_empty() {
             return Ok(None);
         }
@@ -193,8 +200,9 @@
         let instruments = &self.shared.instruments;
         if let WriteEvent::Started(part) = written {
             let past_deadline = part.latest_start_us() + LATE_TOLERANCE_MICROS <= self.shared.now_micros();
-            let begun = PartStart { query: part.query_key, replica: self.connection.replica, past_deadline };
-            instruments.invariants.part_started(begun);
+            let part_start =
+                PartStart { query: part.query_key, replica: self.connection.replica, past_deadline };
+            instruments.invariants.part_started(part_start);
         }
         instruments.recorder.record(|| {
             let record = match written {
