--- a/crates/node/src/close_reason.rs
+++ b/crates/node/src/close_reason.rs
@@ -1,5 +1,7 @@
-//! Why connections are closed: the stable codes of the log line "connection ended" and of the object `ends`
-//! of `/stats`. `docs/on-call.md` explains each code.
+//! The reasons why connections are closed, and their codes.
+//!
+//! The codes appear in the log line "connection ended" and in the object `ends` of `GET /stats`. They are
+//! part of the external interface and must not change. `docs/on-call.md` explains each code.
 
 use pinetrestle_protocol::frames::FrameError;
 use pinetrestle_protocol::head::HttpError;
@@ -9,21 +11,21 @@
 
 macro_rules! close_reasons {
     ($($(#[$doc:meta])* $name:ident => $code:literal),* $(,)?) => {
-        /// Why a connection was closed.
+        /// The reason why a connection was closed.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum CloseReason {
             $($(#[$doc])* $name,)*
-            /// The bytes read are not the HTTP/1.1 that the node speaks.
+            /// The peer sent bytes that are not HTTP/1.1, or that exceed the limits of the node.
             Http(HttpError),
-            /// The bytes read are not a frame of the index server protocol.
+            /// The index server sent bytes that violate the frame protocol.
             Frame(FrameError),
         }
 
         impl CloseReason {
-            /// The reasons that the node names itself, without the errors of the protocol crate.
+            /// All close reasons except `Http` and `Frame`, which wrap errors of the protocol crate.
             pub const NODE_REASONS: &'static [CloseReason] = &[$(CloseReason::$name),*];
 
-            /// The code in the log and in `/stats`.
+            /// Returns the code used in the log and in `GET /stats`.
             pub fn code(self) -> &'static str {
                 match self {
                     $(CloseReason::$name => $code,)*
@@ -38,66 +40,68 @@
 close_reasons! {
     /// The client closed the connection between two requests.
     ClientClosed => "client_closed",
-    /// The client closed the connection while a request was open.
+    /// The client closed the connection before its request was answered.
     ClientDisconnected => "client_gone",
     /// The client sent `Connection: close` (RFC 9112 section 9.6).
     ConnectionClose => "closed_as_asked",
-    /// No request or call came within the idle timeout.
+    /// The connection was idle for longer than the idle timeout.
     IdleTimeout => "idle",
-    /// Closed at the bound of open connections so that a new one fits.
+    /// The idle connection was closed to make room for a new one, because the maximum number of connections
+    /// was open.
     Evicted => "made_room",
-    /// Graceful shutdown, after an answer.
+    /// The node closed the connection after an answer, during graceful shutdown.
     Shutdown => "shutdown",
-    /// Graceful shutdown, between two requests.
+    /// The node closed the connection between two requests, during graceful shutdown.
     ShutdownIdle => "shutdown_between",
     /// A request was not complete within the request timeout.
     RequestTimeout => "request_timeout",
-    /// No request came on a new connection within the first-request timeout.
+    /// No request was received on a new connection within the first-request timeout.
     NoRequest => "never_asked",
-    /// The client sent more malformed requests than one connection may.
+    /// The client sent more malformed requests than are allowed on one connection.
     TooManyBadRequests => "too_many_bad",
-    /// The peer did not take the bytes written within the write timeout.
+    /// The peer did not receive the written bytes in time.
     WriteStalled => "write_stalled",
-    /// Writing failed.
+    /// A write failed.
     WriteFailed => "write_failed",
     /// The peer reset the connection.
     Reset => "reset",
-    /// The connection broke while it was written to (`EPIPE`, `ECONNABORTED`).
+    /// A write failed because the connection was closed or aborted (`EPIPE`, `ECONNABORTED`).
     BrokenPipe => "broken",
-    /// Any other error of the socket.
+    /// A socket operation failed with another error.
     IoError => "io_error",
-    /// The index server has a new address or incarnation, is draining, or has left the endpoint list.
+    /// The index server has a new address or incarnation, is draining, or was removed from the endpoint list.
     EndpointChanged => "replaced",
-    /// Too many attempts in a row were abandoned with nothing read on the connection.
+    /// Too many attempts in a row were cancelled without any bytes being received on the connection.
     Unresponsive => "unheard",
     /// The peer closed the connection.
     PeerClosed => "ended_by_peer",
-    /// The peer closed the connection within a frame.
+    /// The peer closed the connection before it had sent a frame completely.
     PeerClosedMidFrame => "ended_within_frame",
-    /// A frame whose first bytes had come was not complete within the frame timeout.
+    /// A partially received frame was not complete within the frame timeout.
     StalledMidFrame => "stalled_within_frame",
     /// The peer refused the connection.
     ConnectRefused => "connect_refused",
     /// The connection was not established within the connect timeout.
     ConnectTimeout => "connect_timeout",
-    /// Establishing the connection failed in another way.
+    /// The connection could not be established for another reason.
     ConnectFailed => "connect_failed",
-    /// This machine had no port, descriptor, buffer or route for the connection.
+    /// This machine had no free port, file descriptor or buffer, or no route, for the connection.
     NoLocalSocket => "no_local_socket",
-    /// Another watch took the place of this one.
+    /// The watch was replaced by another one.
     Superseded => "asked_anew",
-    /// Discovery sent no complete answer within the answer timeout.
+    /// Discovery sent no complete line within the answer timeout.
     NoResponse => "no_answer",
-    /// Discovery sent no complete line within the watch's silence timeout.
+    /// Discovery sent no further complete line within the silence timeout of the watch.
     WatchSilent => "silent",
-    /// Discovery answered with an HTTP status that carries no endpoint list.
+    /// Discovery answered with an HTTP status other than 200.
     UnexpectedStatus => "status",
-    /// Discovery answered with something that is no endpoint list.
+    /// Discovery answered with a body that is not a valid endpoint list.
     BadEndpointList => "bad_list",
 }
 
 impl CloseReason {
-    /// Whether the peer closed the connection or takes no more bytes, so that no orderly close is possible.
+    /// Returns whether the peer has closed the connection or accepts no more bytes, so that a graceful
+    /// close is not possible.
     pub fn is_closed_by_peer(self) -> bool {
         matches!(
             self,
@@ -111,7 +115,7 @@
         )
     }
 
-    /// Whether the connection was never established.
+    /// Returns whether the connection could not be established.
     pub fn is_connect_failure(self) -> bool {
         matches!(
             self,
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,13 +1,15 @@
-//! Counters of the node: what it has admitted, sent and answered, as `GET /stats` reports them.
+//! Counters of the front node, reported by `GET /stats`.
 //!
-//! Each counter states its JSON key beside its field: the keys are a wire form and keep their spelling.
-//! `docs/on-call.md` says which counters have to add up to which others.
+//! Each counter is declared with its JSON key, which may differ from the field name. The keys are part of
+//! the external interface and must not change. `docs/on-call.md` describes which counters have to add up to
+//! which others.
 
 use serde_json::{json, Map, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// One counter. It only grows, unless it counts what is open at the moment.
+/// A counter. Its value only increases, except for gauges of what is currently open, which also use
+/// [`Counter::decrement`].
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
@@ -22,18 +24,19 @@
         self.0.set(self.0.get() + amount);
     }
 
-    /// Subtracts one, for counters of what is open; stays at 0 rather than wrapping.
+    /// Subtracts one, for gauges of what is currently open. A value of 0 stays 0.
     pub fn decrement(&self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 
-    /// The present value.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Declares a struct of counters and its report: `field => "JSON key"`.
+/// Declares a struct of counters with a `report` method that returns them as a JSON object. Each counter is
+/// declared as `field => "JSON key"`.
 macro_rules! counter_group {
     ($(#[$group_doc:meta])* $group:ident { $($(#[$doc:meta])* $field:ident => $key:literal),* $(,)? }) => {
         $(#[$group_doc])*
@@ -51,85 +54,91 @@
 }
 
 counter_group! {
-    /// Queries of one class. Each admitted query is complete, partial, rejected, failed, abandoned by its client, or open.
+    /// Counters of the queries of one class.
+    ///
+    /// Each admitted query is counted by exactly one of `complete`, `partial`, `rejected`, `failed`,
+    /// `client_disconnected` and `open`.
     QueryCounters {
-        /// Handed to the decision core.
+        /// Queries passed to the decision core.
         admitted => "taken",
-        /// Answered completely.
+        /// Queries answered completely.
         complete => "whole",
-        /// Answered in part.
+        /// Queries answered with only a part of the results.
         partial => "partial",
-        /// Rejected by the decision core.
+        /// Queries rejected by the decision core.
         rejected => "refused",
-        /// Failed.
+        /// Queries that failed.
         failed => "failed",
-        /// Those of `failed` that had no answer at their deadline.
+        /// Queries among `failed` that had no answer at their deadline.
         overdue => "overdue",
-        /// Abandoned: the client disconnected before the answer.
+        /// Queries whose client disconnected before the answer.
         client_disconnected => "gone",
-        /// Open at the moment.
+        /// Queries currently open.
         open => "held",
-        /// Those of `admitted` that the client marked as its own retries.
+        /// Queries among `admitted` that the client marked as its own retries.
         client_retries => "repeats",
         /// Second steps started.
         second_steps => "second_steps",
-        /// Rejected before the decision core because the host was at capacity; not among those admitted.
+        /// Queries rejected before they reached the decision core because the host was at capacity. Not
+        /// included in `admitted`.
         over_capacity => "over_held",
     }
 }
 
 counter_group! {
-    /// Attempts. Each attempt sent has ended in one way or is in flight.
+    /// Counters of attempts.
+    ///
+    /// Each attempt in `sent` is counted by exactly one of the counters from `ok` to `in_flight`.
     AttemptCounters {
-        /// Ordered by the decision core, all of them.
+        /// Attempts requested by the decision core, including those in `never_sent`.
         sent => "sent",
-        /// Those of `sent` that were not a part's first attempt.
+        /// Attempts among `sent` that were not the first attempt of their part.
         retries => "further",
-        /// Those of `sent` that began while another attempt of the part was in flight.
+        /// Attempts among `sent` that started while another attempt of the part was in flight.
         hedges => "hedges",
-        /// Ended with an answer.
+        /// Attempts that ended with an answer.
         ok => "ok",
-        /// Ended with an error.
+        /// Attempts that ended with an error.
         error => "error",
-        /// Rejected by the index server.
+        /// Attempts rejected by the index server.
         rejected => "full",
-        /// Ended by their timeout.
+        /// Attempts that timed out.
         timeout => "timeout",
-        /// Without a connection.
+        /// Attempts for which no connection was available or could be established.
         connect_failed => "connect_failed",
-        /// In flight on a connection that ended.
+        /// Attempts that were in flight on a connection when it ended.
         reset => "reset",
-        /// Cancelled.
+        /// Attempts that were cancelled.
         cancelled => "cancelled",
-        /// Never sent, for example because the query had ended.
+        /// Attempts that were never sent, for example because the query had ended.
         never_sent => "moot",
-        /// In flight at the moment.
+        /// Attempts currently in flight.
         in_flight => "out",
-        /// Answers that came after their attempt had ended; dropped.
+        /// Answers that were dropped because they were received after their attempt had ended.
         late_answers => "late_answers",
     }
 }
 
 counter_group! {
-    /// Connections and the traffic on them.
+    /// Counters of connections and the traffic on them.
     ConnectionCounters {
-        /// Connections of clients accepted.
+        /// Client connections accepted.
         clients_accepted => "clients_accepted",
-        /// Connections of clients open at the moment.
+        /// Client connections currently open.
         clients_open => "clients_open",
         /// Requests read.
         requests => "requests",
         /// Requests rejected as malformed.
         bad_requests => "bad_requests",
-        /// Failures to accept a connection.
+        /// Failures to accept a client connection.
         accept_failed => "accept_failed",
-        /// Connections to index servers started.
+        /// Connections to index servers that the node started to open.
         servers_begun => "servers_begun",
-        /// Connections to index servers open or being established at the moment.
+        /// Connections to index servers currently open or being opened.
         servers_open => "servers_open",
-        /// Connections to index servers that were never established.
+        /// Connections to index servers that could not be established.
         servers_failed => "servers_failed",
-        /// Calls that found no connection because too many are open.
+        /// Calls that were not sent because the maximum number of connections to index servers was open.
         servers_exhausted => "servers_none_left",
         /// Calls sent to index servers.
         calls => "calls",
@@ -145,33 +154,33 @@
 }
 
 counter_group! {
-    /// Watches of the endpoint list at discovery.
+    /// Counters of the watches on the endpoint list at discovery.
     DiscoveryCounters {
         /// Watches opened.
         watches => "watches",
-        /// Watches that failed or ended.
+        /// Times that no watch was active or pending after one failed or ended.
         watches_lost => "lost",
-        /// Full endpoint lists received.
+        /// Complete endpoint lists received.
         full_lists => "lists",
-        /// Watch events with changes received.
+        /// Updates received that contain only the changes to the endpoint list.
         changes => "changes",
-        /// Heartbeats received.
+        /// Keep-alives received.
         heartbeats => "alive",
     }
 }
 
 counter_group! {
-    /// The front node itself.
+    /// Counters of the front node itself.
     NodeCounters {
-        /// Batches that the decision core has processed.
+        /// Batches of events processed by the decision core.
         batches => "turns",
         /// Restarts of the decision core after a panic.
         core_restarts => "module_restarts",
-        /// Attempts still in flight after the batch that followed their query's end.
+        /// Attempts that were still in flight after the batch that followed the end of their query.
         orphaned_attempts => "stray_attempts",
-        /// New configurations put in force.
+        /// Reloads that applied a new configuration.
         reloads => "reloads",
-        /// New configurations rejected; the old one stayed in force.
+        /// Reloads whose configuration was rejected, so that the previous one stayed in effect.
         reloads_rejected => "reloads_refused",
         /// Log lines dropped because the reader of the log had stalled.
         log_lines_dropped => "log_lines_dropped",
@@ -179,49 +188,52 @@
 }
 
 counter_group! {
-    /// Violations of the node's own invariants, found as it runs; anything over 0 is a defect.
+    /// Counters of violated invariants, which the node checks at run time. A value above 0 indicates a
+    /// defect.
     ViolationCounters {
-        /// A part started after its query's final answer, or after its client was found to have disconnected.
+        /// Parts whose write started after the final answer to the query, or after the client was found to
+        /// have disconnected.
         sent_after_end => "sent_after_end",
-        /// A part sent to an index server that is draining or has left.
+        /// Parts sent to an index server that is draining or was removed from the endpoint list.
         sent_out_of_service => "sent_out_of_service",
-        /// A second attempt of a part that may have run and is not idempotent; it was not sent.
+        /// Further attempts of parts that are not idempotent and may have run. These attempts were not sent.
         unsafe_retry => "repeated_in_vain",
-        /// A part started after its deadline, or outside its idempotency window.
+        /// Parts whose write started after their deadline or outside their idempotency window.
         sent_past_deadline => "sent_too_late",
-        /// A connection closed by the node with a request read and no final answer.
+        /// Client connections that the node closed after reading a request, without a final answer to it.
         closed_unanswered => "closed_unanswered",
     }
 }
 
 counter_group! {
-    /// Retries and hedged requests, by how the part's latest attempt had ended.
+    /// Counters of retries and hedged requests, by the outcome of the previous attempt of the part.
     RetryCounters {
-        /// Hedged: another attempt was in flight.
+        /// Hedged requests: another attempt of the part was in flight.
         hedge => "hedge",
-        /// After an error.
+        /// Retries after an error.
         after_error => "after_error",
-        /// After a rejection by the index server.
+        /// Retries after a rejection by the index server.
         after_rejected => "after_full",
-        /// After a timeout.
+        /// Retries after a timeout.
         after_timeout => "after_timeout",
-        /// After no connection was established.
+        /// Retries after an attempt for which no connection was established.
         after_connect_failed => "after_connect_failed",
-        /// After its connection ended.
+        /// Retries after an attempt whose connection ended.
         after_reset => "after_reset",
-        /// After it was cancelled.
+        /// Retries after a cancelled attempt.
         after_cancelled => "after_cancelled",
-        /// After it was withdrawn unsent.
+        /// Retries after an attempt that was never sent.
         after_never_sent => "after_moot",
     }
 }
 
-/// Closed connections, by side (`client`, `index_server`, `discovery`) and code of the close reason.
+/// Counters of closed connections, by kind of peer (`client`, `index_server` or `discovery`) and code of the
+/// [`CloseReason`](crate::close_reason::CloseReason).
 #[derive(Debug, Default)]
 pub struct CloseCounters(RefCell<BTreeMap<&'static str, BTreeMap<&'static str, u64>>>);
 
 impl CloseCounters {
-    /// Counts one closed connection.
+    /// Counts a closed connection to the given kind of peer.
     pub fn increment(&self, side: &'static str, code: &'static str) {
         let mut sides = self.0.borrow_mut();
         let codes = sides.entry(side).or_default();
@@ -233,45 +245,45 @@
     }
 }
 
-/// The queries of one class.
+/// Name and counters of one class.
 #[derive(Debug)]
 pub struct ClassCounters {
-    /// The class's name in the settings, and its key under `queries` in the report.
+    /// Name of the class in the settings, and its key under `queries` in the report.
     pub name: String,
-    /// Its queries.
+    /// Counters of the queries of this class.
     pub queries: QueryCounters,
 }
 
 /// All counters of the node.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Queries, by the number of their class.
+    /// Counters of queries, in the order of the classes in the settings.
     pub classes: Vec<ClassCounters>,
-    /// Attempts.
+    /// Counters of attempts.
     pub attempts: AttemptCounters,
-    /// Connections.
+    /// Counters of connections and their traffic.
     pub connections: ConnectionCounters,
-    /// Watches at discovery.
+    /// Counters of watches on the endpoint list.
     pub discovery: DiscoveryCounters,
-    /// The front node itself.
+    /// Counters of the front node itself.
     pub node: NodeCounters,
-    /// Violated invariants.
+    /// Counters of violated invariants.
     pub violations: ViolationCounters,
-    /// Retries by their cause.
+    /// Counters of retries and hedged requests, by cause.
     pub retries: RetryCounters,
-    /// Closed connections by their close reason.
+    /// Counters of closed connections, by close reason.
     pub closes: CloseCounters,
 }
 
 impl Counters {
-    /// Counters at 0 for classes of these names, in the order of the settings.
+    /// Creates counters with value 0, for classes with these names in the order of the settings.
     pub fn new(class_names: &[String]) -> Counters {
         let class = |name: &String| ClassCounters { name: name.clone(), queries: QueryCounters::default() };
         let classes = class_names.iter().map(class).collect();
         Counters { classes, ..Counters::default() }
     }
 
-    /// All counters as the JSON object of `GET /stats`.
+    /// Returns all counters as the JSON object that `GET /stats` reports.
     pub fn report(&self) -> Value {
         let classes = self.classes.iter().map(|class| (class.name.clone(), class.queries.report()));
         json!({
--- a/crates/node/src/deadline.rs
+++ b/crates/node/src/deadline.rs
@@ -1,21 +1,21 @@
-//! Bounded waits on sockets that count what had arrived by the deadline, even if it was not seen by then.
+//! Timeouts for socket operations that don't lose data that arrived before the deadline.
 
 use std::future::Future;
 use std::pin::pin;
 use tokio::task::yield_now;
 use tokio::time::{timeout_at, Instant};
 
-/// The future's output if it is ready by the deadline; `None` otherwise.
+/// Waits for the future until the deadline. Returns its output, or `None` if it is not ready by then.
 ///
-/// After a pause of this process, or a signal, the runtime may look at the clock before it polls the sockets: the
-/// deadline has passed, and what arrived before it has not been seen. So the sockets are polled once more after the
-/// deadline, and only then is the wait given up.
+/// After a pause of this process, or a signal, the runtime may check its timers before it polls the
+/// sockets. The deadline has then passed, although data that arrived before it has not been read. The
+/// future is therefore polled once more after the deadline, after the runtime has polled the sockets.
 pub(crate) async fn before_deadline<F: Future>(deadline: Instant, future: F) -> Option<F::Output> {
     let mut future = pin!(future);
     if let Ok(output) = timeout_at(deadline, &mut future).await {
         return Some(output);
     }
-    // Other tasks get their turn, and then the I/O driver.
+    // Lets the runtime run the other tasks and poll the I/O driver.
     yield_now().await;
     tokio::select! {
         biased;
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,6 +1,10 @@
-//! Watches on discovery: the tasks that open them and pass on what they receive.
+//! Watches on the endpoint list at the discovery service.
 //!
-//! When to poll is the decision core's choice; which of several watches counts is decided by [`WatchSupervisor`].
+//! A watch is an HTTP request on a connection of its own. Discovery answers with a stream of lines: the
+//! complete endpoint list or changes to it, and keep-alives while nothing changes. [`WatchSupervisor`]
+//! decides when a watch is opened and which of several watches is the active one; [`DiscoveryTask`]
+//! executes its decisions. Each watch has a task of its own, which forwards the received lines to the
+//! discovery task. If the endpoint list is polled, the decision core decides when a watch is requested.
 
 use crate::close_reason::CloseReason;
 use crate::config::LiveConfig;
@@ -21,47 +25,48 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
-/// Lines that may wait for the discovery task; a watch with one more waits.
-const LINE_CAPACITY: usize = 16;
-/// Bytes of one read.
+/// Capacity of the channel from the watches to the discovery task. Watches wait while it is full.
+const REPORT_CAPACITY: usize = 16;
+/// Size of the read buffer of a watch, in bytes.
 const READ_SIZE: usize = 16 * 1024;
 
-/// The task that keeps a watch on discovery.
+/// The task that opens and closes the watches on the endpoint list.
 pub(crate) struct DiscoveryTask {
-    /// The configuration in force; it has the address of discovery.
+    /// The current configuration, including the address of discovery.
     pub(crate) live_config: Rc<LiveConfig>,
-    /// Notified when the configuration names another address.
+    /// Notified when the address of discovery in the configuration has changed.
     pub(crate) address_changed: Rc<Notify>,
-    /// Which watch is established and which are being opened.
+    /// State of the active watch and of the pending ones.
     pub(crate) watches: WatchSupervisor<SocketAddr>,
-    /// Counts watches and what they receive.
+    /// Counters of watches and of the lines that they receive.
     pub(crate) counters: Rc<Counters>,
-    /// Where changes of the endpoint list go.
+    /// Sender of endpoint list updates and watch failures to the event loop.
     pub(crate) to_event_loop: mpsc::Sender<Message>,
-    /// Logs one line a connection.
+    /// Log that receives one line when the connection of a watch ends.
     pub(crate) log: Logger,
 }
 
-/// What the connection of a watch reports to the discovery task.
+/// A report of the task of a watch to the discovery task.
 struct WatchReport {
-    /// The number of the watch.
-    number: u64,
-    /// A line of the watch, or why its connection has ended.
+    /// Id of the watch.
+    watch_id: u64,
+    /// A line received by the watch, or the reason why its connection was closed.
     event: Result<WatchEvent, CloseReason>,
 }
 
-/// The watches whose tasks run, by number. Dropping a handle ends its task.
+/// Handles of the running watch tasks, by watch id. Dropping a handle stops the task.
 type RunningWatches = HashMap<u64, oneshot::Sender<()>>;
 
 impl DiscoveryTask {
-    /// Opens a watch at each request and whenever one is due, until no request can come any more.
+    /// Opens a watch on request and whenever [`WatchSupervisor`] schedules one. Returns when the senders of
+    /// `requests` are dropped.
     pub(crate) async fn run(mut self, mut requests: mpsc::Receiver<()>) {
-        let (reports, mut reported) = mpsc::channel::<WatchReport>(LINE_CAPACITY);
+        let (report_sender, mut reports) = mpsc::channel::<WatchReport>(REPORT_CAPACITY);
         let start = Instant::now();
         let mut running = RunningWatches::new();
         loop {
-            let due = self.watches.next_deadline();
-            let due_at = start + due.unwrap_or_default();
+            let next_deadline = self.watches.next_deadline();
+            let deadline = start + next_deadline.unwrap_or_default();
             let actions = tokio::select! {
                 request = requests.recv() => match request {
                     None => return,
@@ -71,13 +76,13 @@
                     let address = self.live_config.get().discovery;
                     self.watches.change_address(start.elapsed(), address, self.timeouts())
                 }
-                () = sleep_until(due_at), if due.is_some() => {
+                () = sleep_until(deadline), if next_deadline.is_some() => {
                     self.watches.on_deadline(start.elapsed(), self.timeouts())
                 }
-                Some(report) = reported.recv() => self.on_report(report, start.elapsed(), &mut running),
+                Some(report) = reports.recv() => self.on_report(report, start.elapsed(), &mut running),
             };
             for action in actions {
-                self.execute(action, &mut running, &reports).await;
+                self.execute(action, &mut running, &report_sender).await;
             }
         }
     }
@@ -99,12 +104,12 @@
         match report.event {
             Ok(line) => {
                 self.count(&line);
-                self.watches.on_event(report.number, line)
+                self.watches.on_event(report.watch_id, line)
             }
             Err(reason) => {
                 self.counters.closes.increment("discovery", reason.code());
-                running.remove(&report.number);
-                self.watches.on_watch_ended(now, report.number, self.timeouts())
+                running.remove(&report.watch_id);
+                self.watches.on_watch_ended(now, report.watch_id, self.timeouts())
             }
         }
     }
@@ -122,14 +127,14 @@
         &self,
         action: WatchAction<SocketAddr>,
         running: &mut RunningWatches,
-        reports: &mpsc::Sender<WatchReport>,
+        report_sender: &mpsc::Sender<WatchReport>,
     ) {
         match action {
             WatchAction::Open { watch_id, address, after } => {
-                running.insert(watch_id, self.open_watch(watch_id, address, after, reports.clone()));
+                running.insert(watch_id, self.open_watch(watch_id, address, after, report_sender.clone()));
             }
-            WatchAction::Close(number) => drop(running.remove(&number)),
-            // The receiver is there as long as the program serves.
+            WatchAction::Close(watch_id) => drop(running.remove(&watch_id)),
+            // Sending fails only if the event loop has ended, when messages are no longer needed.
             WatchAction::Deliver(event) => {
                 drop(self.to_event_loop.send(Message::EndpointUpdate(event)).await)
             }
@@ -140,57 +145,60 @@
         }
     }
 
-    /// Starts the task of one watch on the changes after version `after`.
+    /// Starts the task of a watch that requests the changes after version `after`. Returns the handle of
+    /// the task.
     fn open_watch(
         &self,
-        number: u64,
+        watch_id: u64,
         address: SocketAddr,
         after: u64,
-        reports: mpsc::Sender<WatchReport>,
+        report_sender: mpsc::Sender<WatchReport>,
     ) -> oneshot::Sender<()> {
         self.counters.discovery.watches.increment();
         let (handle, handle_dropped) = oneshot::channel();
         let live_config = self.live_config.clone();
         let connection =
-            WatchConnection { live_config, address, after, number, reports, lines: 0, bytes_in: 0 };
+            WatchConnection { live_config, address, after, watch_id, report_sender, lines: 0, bytes_in: 0 };
         spawn_local(connection.run(handle_dropped, self.log.clone()));
         handle
     }
 }
 
-/// One watch and the connection that carries it.
+/// A watch and its connection.
 struct WatchConnection {
     live_config: Rc<LiveConfig>,
     address: SocketAddr,
-    /// The version of the endpoint list after which changes are wanted.
+    /// Version of the endpoint list after which changes are requested.
     after: u64,
-    number: u64,
-    reports: mpsc::Sender<WatchReport>,
-    /// Complete lines received.
+    watch_id: u64,
+    report_sender: mpsc::Sender<WatchReport>,
+    /// Number of complete lines received.
     lines: u64,
-    /// Bytes received.
+    /// Number of bytes received.
     bytes_in: u64,
 }
 
 impl WatchConnection {
+    /// Runs the watch until its connection ends or its handle is dropped, and then logs and reports its end.
     async fn run(mut self, handle_dropped: oneshot::Receiver<()>, log: Logger) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let reason = tokio::select! {
             reason = self.watch() => reason,
             _ = handle_dropped => CloseReason::Superseded,
         };
         info!(log, "connection ended"; "side" => "discovery", "peer" => %self.address,
-            "age_ms" => begun.elapsed().as_millis() as u64, "lines" => self.lines, "in" => self.bytes_in,
+            "age_ms" => started_at.elapsed().as_millis() as u64, "lines" => self.lines, "in" => self.bytes_in,
             "after" => self.after, "reason" => %reason);
         self.report(Err(reason)).await;
     }
 
     async fn report(&self, event: Result<WatchEvent, CloseReason>) {
-        // The receiver is there as long as the program serves.
-        let _ = self.reports.send(WatchReport { number: self.number, event }).await;
+        // Sending fails only if the discovery task has ended, when reports are no longer needed.
+        let _ = self.report_sender.send(WatchReport { watch_id: self.watch_id, event }).await;
     }
 
-    /// How long the next line may take from the last one, or from the call.
+    /// Returns the maximum time until the next complete line, counted from the previous line, or from the
+    /// start of the watch if there is none.
     fn line_timeout(&self) -> Duration {
         let transport = &self.live_config.get().transport;
         if self.lines > 0 {
@@ -200,17 +208,18 @@
         }
     }
 
-    /// Watches until the connection ends; returns why it did.
+    /// Opens the connection and receives lines until it ends. Returns the close reason.
     async fn watch(&mut self) -> CloseReason {
-        let begun = Instant::now();
-        match self.send_request(begun).await {
-            Ok(stream) => self.receive(&stream, begun).await,
+        let started_at = Instant::now();
+        match self.send_request(started_at).await {
+            Ok(stream) => self.receive(&stream, started_at).await,
             Err(reason) => reason,
         }
     }
 
-    async fn send_request(&self, begun: Instant) -> Result<TcpStream, CloseReason> {
-        let deadline = begun + self.line_timeout();
+    /// Connects to discovery and sends the watch request. Returns the connection.
+    async fn send_request(&self, started_at: Instant) -> Result<TcpStream, CloseReason> {
+        let deadline = started_at + self.line_timeout();
         let stream = match before_deadline(deadline, connect(self.address, deadline)).await {
             None => return Err(CloseReason::ConnectTimeout),
             Some(Err(error)) if is_transient_local_error(&error) => return Err(CloseReason::NoLocalSocket),
@@ -219,16 +228,18 @@
         };
         let names = self.live_config.get().names.wire.clone();
         let request = encode_watch_request(&names, &self.address.to_string(), self.after);
-        match before_deadline(begun + self.line_timeout(), write_all(&stream, &request)).await {
+        match before_deadline(started_at + self.line_timeout(), write_all(&stream, &request)).await {
             Some(Ok(())) => Ok(stream),
             _ => Err(CloseReason::WriteFailed),
         }
     }
 
-    async fn receive(&mut self, stream: &TcpStream, begun: Instant) -> CloseReason {
-        // Only a complete line counts as a sign of life: bytes that trickle, or half a line, carry nothing.
-        let mut last_line_at = begun;
-        let mut watch = WatchDecoder::new(self.live_config.get().names.wire.clone());
+    /// Receives lines until the connection ends. Returns the close reason.
+    async fn receive(&mut self, stream: &TcpStream, started_at: Instant) -> CloseReason {
+        // Only a complete line extends the deadline. Otherwise a peer that sends single bytes could keep
+        // the connection open without delivering an update.
+        let mut last_line_at = started_at;
+        let mut decoder = WatchDecoder::new(self.live_config.get().names.wire.clone());
         let mut buffer = vec![0; READ_SIZE];
         loop {
             let deadline = last_line_at + self.line_timeout();
@@ -240,9 +251,9 @@
                 Some(Ok(count)) => count,
             };
             self.bytes_in += count as u64;
-            watch.feed(&buffer[..count]);
+            decoder.feed(&buffer[..count]);
             loop {
-                match watch.next_event() {
+                match decoder.next_event() {
                     Ok(Some(line)) => {
                         self.lines += 1;
                         last_line_at = Instant::now();
@@ -252,7 +263,7 @@
                     Err(error) => return error.into(),
                 }
             }
-            if watch.is_complete() {
+            if decoder.is_complete() {
                 return CloseReason::PeerClosed;
             }
         }
--- a/crates/node/src/flight_recorder.rs
+++ b/crates/node/src/flight_recorder.rs
@@ -1,7 +1,7 @@
-//! The flight recorder's operator file, and the task that writes the recorder's ring out.
+//! The operator file of the flight recorder, and the task that writes out its ring buffer of records.
 //!
-//! The ring is written at SIGUSR1, when an invariant is found violated, at the program's end, and periodically, each
-//! as the operator file says (`docs/flight-recorder.md`).
+//! The ring is written on SIGUSR1 and when a violated invariant raises an alarm. The operator file can also
+//! enable writes at exit and periodic writes, and sets the output file (`docs/flight-recorder.md`).
 
 use pinetrestle_operator::{Validate, ValidationError};
 use pinetrestle_recorder::log_lines::{encode_line, RECORDS_PER_LINE};
@@ -16,15 +16,15 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, sleep_until, timeout, Instant};
 
-/// The most records a ring may hold: 64 MiB of memory.
+/// Maximum capacity of the ring in records, which takes 64 MiB of memory.
 const MAX_RECORDS: usize = 2 * 1024 * 1024;
-/// The shortest interval between two periodic writes, in milliseconds.
+/// Minimum interval between two periodic writes, in milliseconds.
 const MIN_FOLLOW_MS: u64 = 50;
-/// The interval at which the recorder is polled for an alarm.
+/// Interval at which the recorder is polled for an alarm.
 const ALARM_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The most writes for alarms; a defect that goes on must not fill the disk.
+/// Maximum number of writes triggered by alarms, so that a persistent defect can't fill the disk.
 const MAX_ALARM_WRITES: u32 = 3;
-/// How long the program's end waits for the reader of the records.
+/// Maximum time that the write at exit may take. Standard output blocks if its reader has stalled.
 const EXIT_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The operator file of the flight recorder.
@@ -33,31 +33,33 @@
 pub struct RecorderSettings {
     /// Capacity of the ring in records of 32 bytes; 0 switches the recorder off.
     pub records: usize,
-    /// The file to write to, truncated at each write; none: standard output, among the lines of the log.
+    /// File that the records are written to. It is truncated before each write, unless `follow_ms` is set.
+    /// If `None`, records are written to standard output, between the lines of the log.
     pub file: Option<PathBuf>,
-    /// Whether the ring is written when the program ends in order.
+    /// Whether the ring is written when the program exits normally.
     pub at_exit: bool,
-    /// Interval in milliseconds at which new records are appended, for programs that are killed; 0: never.
+    /// Interval in milliseconds at which new records are appended, so that they are kept if the program is
+    /// killed; 0 switches periodic writes off.
     pub follow_ms: u64,
 }
 
 impl Validate for RecorderSettings {
     fn validate(&self) -> Result<(), ValidationError> {
         if self.records > MAX_RECORDS {
-            let problem = format!("is {}: over {MAX_RECORDS}", self.records);
+            let problem = format!("is {}, which is more than the maximum of {MAX_RECORDS}", self.records);
             return Err(ValidationError::new("records", problem, format!("write {MAX_RECORDS} or less")));
         }
         if (1..MIN_FOLLOW_MS).contains(&self.follow_ms) {
-            let problem = format!("is {}: under {MIN_FOLLOW_MS}", self.follow_ms);
+            let problem = format!("is {}, which is less than the minimum of {MIN_FOLLOW_MS}", self.follow_ms);
             return Err(ValidationError::new(
                 "follow_ms",
                 problem,
                 format!("write {MIN_FOLLOW_MS} or more, or 0"),
             ));
         }
-        let set = self.file.is_some() || self.at_exit || self.follow_ms > 0;
-        if set && self.records == 0 {
-            let fix = "write how many records to keep, as 65536, or remove the other keys";
+        let has_other_keys = self.file.is_some() || self.at_exit || self.follow_ms > 0;
+        if has_other_keys && self.records == 0 {
+            let fix = "write the number of records to keep, for example 65536, or remove the other keys";
             return Err(ValidationError::new("records", "is 0 while other keys are set", fix));
         }
         if self.file.as_ref().is_some_and(|file| file.as_os_str().is_empty()) {
@@ -67,16 +69,16 @@
     }
 }
 
-/// What made the ring be written; the value `at` of the log lines.
+/// The cause of a write of the ring; the value of the log key `at`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteTrigger {
     /// The interval `follow_ms` has passed.
     Follow,
-    /// SIGUSR1.
+    /// SIGUSR1 was received.
     Signal,
-    /// An invariant was found violated.
+    /// A violated invariant raised an alarm.
     Alarm,
-    /// The program's end.
+    /// The program exits.
     Exit,
 }
 
@@ -91,23 +93,23 @@
     }
 }
 
-/// What happens to the earlier content of the file that is written to.
+/// Whether a write replaces the existing content of the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FileMode {
     Truncate,
     Append,
 }
 
-/// How many records one write took.
+/// Result of a write of the ring.
 #[derive(Clone, Copy, Debug, Default)]
 struct WriteSummary {
-    /// Records written.
+    /// Number of records written.
     records: u64,
-    /// Records overwritten in the ring before they could be written.
+    /// Number of records that were overwritten in the ring before they could be written.
     missed: u64,
 }
 
-/// Writes the recorder's ring out.
+/// Writes the records in the ring of the flight recorder to a file or to standard output.
 pub(crate) struct RingWriter {
     pub(crate) settings: RecorderSettings,
     pub(crate) recorder: Rc<Recorder>,
@@ -115,17 +117,18 @@
 }
 
 impl RingWriter {
-    /// Writes the ring at each notification of `write_request`, at each alarm and at the follow interval, as long as
-    /// the program runs.
+    /// Writes the ring at each notification of `write_request` and at the first [`MAX_ALARM_WRITES`]
+    /// alarms, and new records at each interval `follow_ms`. Never returns.
     pub(crate) async fn run(self: Rc<Self>, write_request: Rc<Notify>) {
         let follow_interval = Duration::from_millis(self.settings.follow_ms);
         let mut alarm_writes = 0;
-        // The interval keeps its own schedule: other writes in between don't delay it.
+        // An interval keeps its schedule while other branches of the loop run. A sleep would start anew in
+        // each iteration, and never end if periodic writes are more frequent.
         let mut alarm_poll = interval(ALARM_POLL_INTERVAL);
         let mut followed_until = 0;
         let mut next_follow = Instant::now() + follow_interval;
         if self.follows() {
-            // The file starts empty with the program; each later write appends to it.
+            // Empties the file at program start. Later writes append to it.
             self.write_out(WriteTrigger::Follow, 0, FileMode::Truncate).await;
         }
         loop {
@@ -142,7 +145,8 @@
                 _ = alarm_poll.tick() => {
                     if self.recorder.take_alarm() && alarm_writes < MAX_ALARM_WRITES {
                         alarm_writes += 1;
-                        warn!(self.log, "an invariant is broken"; "alarm" => alarm_writes);
+                        warn!(self.log, "writing flight records after an invariant violation";
+                            "alarm" => alarm_writes);
                         self.write_out(WriteTrigger::Alarm, 0, self.file_mode()).await;
                     }
                 }
@@ -150,24 +154,26 @@
         }
     }
 
-    /// Writes the ring at the program's end, if that is set; a reader that has stalled delays the end only for
-    /// [`EXIT_WRITE_TIMEOUT`].
+    /// Writes the ring at exit if `at_exit` is set. Gives up after [`EXIT_WRITE_TIMEOUT`], so that a
+    /// stalled reader of the records can't keep the program from exiting.
     pub(crate) async fn write_at_exit(&self) {
         if !self.settings.at_exit {
             return;
         }
         let write = self.write_out(WriteTrigger::Exit, 0, self.file_mode());
         if timeout(EXIT_WRITE_TIMEOUT, write).await.is_err() {
-            warn!(self.log, "flight records cut short"; "at" => WriteTrigger::Exit.as_str());
+            let at = WriteTrigger::Exit.as_str();
+            warn!(self.log, "flight records incomplete: write timed out"; "at" => at);
         }
     }
 
-    /// Whether new records are appended periodically.
+    /// Returns whether new records are appended periodically.
     fn follows(&self) -> bool {
         self.settings.follow_ms > 0
     }
 
-    /// The mode of a write of the complete ring: a file that is followed keeps what it has.
+    /// Returns the file mode of a write of the complete ring. With periodic writes, the file keeps its
+    /// content.
     fn file_mode(&self) -> FileMode {
         if self.follows() {
             FileMode::Append
@@ -176,7 +182,8 @@
         }
     }
 
-    /// Writes the records from number `from` on, and logs how that went.
+    /// Writes the records from position `from` on, and logs the result. Periodic writes without new records
+    /// are not logged.
     async fn write_out(&self, trigger: WriteTrigger, from: u64, mode: FileMode) {
         let written = match &self.settings.file {
             None => self.write_records(&mut tokio::io::stdout(), from).await,
@@ -186,9 +193,10 @@
         match written {
             Ok(WriteSummary { records: 0, .. }) if trigger == WriteTrigger::Follow => {}
             Ok(WriteSummary { records, missed }) => {
-                info!(self.log, "flight records written"; "at" => at, "records" => records, "missed" => missed);
+                info!(self.log, "flight records written";
+                    "at" => at, "records" => records, "missed" => missed);
             }
-            Err(error) => warn!(self.log, "flight records not written"; "at" => at, "error" => %error),
+            Err(error) => warn!(self.log, "failed to write flight records"; "at" => at, "error" => %error),
         }
     }
 
@@ -200,8 +208,10 @@
         self.write_records(&mut file, from).await
     }
 
-    /// Writes a line of records at a time, so that the node serves on and the ring is not copied. Records noted after
-    /// the begin are left out.
+    /// Writes the records from position `from` on, without those recorded after the start of the write.
+    ///
+    /// Writes one line of [`RECORDS_PER_LINE`] records at a time, so that other tasks can run in between
+    /// and the ring doesn't have to be copied.
     async fn write_records(
         &self,
         output: &mut (impl AsyncWriteExt + Unpin),
@@ -210,14 +220,15 @@
         let until = self.recorder.total_recorded();
         let mut next = from;
         let mut summary = WriteSummary::default();
-        // Before the ring's oldest record nothing can be missed by a write that takes the complete ring.
-        let mut at_oldest = from == 0;
+        // A write of the complete ring starts at the oldest record. Records overwritten before it started
+        // don't count as missed.
+        let mut starts_at_oldest = from == 0;
         while next < until {
             let batch = self.recorder.read_from(next, RECORDS_PER_LINE);
-            if !at_oldest {
+            if !starts_at_oldest {
                 summary.missed += batch.missed;
             }
-            at_oldest = false;
+            starts_at_oldest = false;
             if batch.records.is_empty() {
                 break;
             }
@@ -230,9 +241,9 @@
     }
 }
 
-/// Notifies `write_request` at each SIGUSR1.
+/// Notifies `write_request` at each SIGUSR1. Returns immediately if the signal handler can't be installed.
 pub(crate) async fn forward_write_signal(write_request: Rc<Notify>) {
-    // Without the signal the ring is still written at alarms and at the end.
+    // Without the signal handler, the ring is still written at alarms, at exit and periodically.
     let Ok(mut signals) = signal(SignalKind::user_defined1()) else { return };
     while signals.recv().await.is_some() {
         write_request.notify_one();
--- a/crates/node/src/pause_detector.rs
+++ b/crates/node/src/pause_detector.rs
@@ -1,7 +1,9 @@
-//! Detects pauses of this process (SIGSTOP, a suspended machine, a starved CPU).
+//! Detects pauses of this process, caused for example by SIGSTOP, suspension of the machine or CPU
+//! starvation.
 //!
-//! A timer task ticks every [`TICK_INTERVAL`]. A tick that comes late shows that nothing ran since the tick before it,
-//! so what is read just after it may have waited in the kernel's buffers since then.
+//! A timer task ticks every [`TICK_INTERVAL`]. A late tick shows that the process did not run since the
+//! previous tick. Bytes read just after it may then have waited in the kernel's socket buffers since the
+//! previous tick.
 
 use pinetrestle_recorder::{EventKind, Record, Recorder};
 use std::cell::Cell;
@@ -9,68 +11,71 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Time between two ticks.
+/// Interval between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// Ticks at least this far apart count as a pause.
+/// Minimum time between two consecutive ticks that counts as a pause.
 const PAUSE_THRESHOLD: Duration = TICK_INTERVAL.saturating_mul(2);
 
-/// A stretch of time in which the process did not run.
+/// A period in which the process did not run.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
-    began_at: Instant,
+    started_at: Instant,
     ended_at: Instant,
 }
 
-/// Keeps the latest tick and the latest pause.
+/// Records the times of the last tick and of the latest pause.
 #[derive(Debug)]
 pub struct PauseDetector {
     last_tick: Cell<Instant>,
-    /// Empty (it ends when it begins) until there has been one.
+    /// The latest detected pause. Its start and end are equal if there has been none.
     latest_pause: Cell<Pause>,
 }
 
 impl PauseDetector {
-    /// Starts with a tick at `now` and no pause.
+    /// Creates a detector with its last tick at `now` and no pause.
     pub fn new(now: Instant) -> PauseDetector {
-        let no_pause = Pause { began_at: now, ended_at: now };
+        let no_pause = Pause { started_at: now, ended_at: now };
         PauseDetector { last_tick: Cell::new(now), latest_pause: Cell::new(no_pause) }
     }
 
+    /// Records a tick, and a pause if the previous tick was at least [`PAUSE_THRESHOLD`] ago.
     fn tick(&self, now: Instant) {
         let last_tick = self.last_tick.replace(now);
         if now - last_tick >= PAUSE_THRESHOLD {
-            self.latest_pause.set(Pause { began_at: last_tick, ended_at: now });
+            self.latest_pause.set(Pause { started_at: last_tick, ended_at: now });
         }
     }
 
-    /// The earliest moment at which bytes read at `now` may have arrived: `now` itself, or the start of a pause
-    /// that has just ended, whether or not a tick has seen it yet.
+    /// Returns the earliest time at which bytes read at `now` may have arrived: the start of a pause that
+    /// has just ended, or `now` if there was no such pause.
+    ///
+    /// The pause may not have been detected by a tick yet, if the caller runs before the timer task.
     fn earliest_arrival_at(&self, now: Instant) -> Instant {
         let last_tick = self.last_tick.get();
         let pause = self.latest_pause.get();
-        let unseen_pause = now - last_tick >= PAUSE_THRESHOLD;
-        let pause_just_seen = pause.ended_at > pause.began_at && now - pause.ended_at < TICK_INTERVAL;
-        if unseen_pause {
+        let has_undetected_pause = now - last_tick >= PAUSE_THRESHOLD;
+        let pause_just_ended = pause.ended_at > pause.started_at && now - pause.ended_at < TICK_INTERVAL;
+        if has_undetected_pause {
             last_tick
-        } else if pause_just_seen {
-            pause.began_at
+        } else if pause_just_ended {
+            pause.started_at
         } else {
             now
         }
     }
 
-    /// The earliest moment at which bytes read right now may have arrived.
+    /// Returns the earliest time at which bytes read now may have arrived in the socket buffer.
     pub fn earliest_arrival(&self) -> Instant {
         self.earliest_arrival_at(Instant::now())
     }
 
-    /// Whether a pause has just ended.
+    /// Returns whether a pause has just ended.
     pub fn has_just_paused(&self) -> bool {
         let now = Instant::now();
         self.earliest_arrival_at(now) < now
     }
 
-    /// Ticks as long as the process runs; each pause is noted by the flight recorder.
+    /// Ticks every [`TICK_INTERVAL`], and records each pause in the flight recorder. Never returns.
     pub async fn run(self: Rc<PauseDetector>, recorder: Rc<Recorder>) {
         loop {
             sleep(TICK_INTERVAL).await;
