--- a/crates/benchlink/src/decode.rs
+++ b/crates/benchlink/src/decode.rs
@@ -1,4 +1,4 @@
-//! Lines of the wire to events of the decision core.
+//! Converts lines of the simulator to events for the decision core.
 
 use crate::error::WireError;
 use crate::instance::{Instance, ServerNumbers};
@@ -7,25 +7,27 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Tables of server entries, by the number under which lists refer to them.
+/// Tables of server entries, by table number. Endpoint lists refer to a table by its number.
 pub type Tables = BTreeMap<u64, Vec<Value>>;
 
-/// The `mode` of a list that holds changes only.
+/// Value of `mode` for a list that contains only changes.
 const MODE_CHANGES: &str = "diff";
-/// The `mode` of a complete list.
+/// Value of `mode` for a complete list.
 const MODE_COMPLETE: &str = "snapshot";
-/// The `mode` of a complete list from before the instance's start.
+/// Value of `mode` for a complete list that was cached before the instance started.
 const MODE_CACHED: &str = "disk";
-/// The relative capacity of a server whose entry states none.
-const DEFAULT_SIZE: f64 = 1.0;
-/// The number of a class that the settings do not name: out of range of any settings.
+/// Relative capacity of a server whose entry does not contain one.
+const DEFAULT_RELATIVE_CAPACITY: f64 = 1.0;
+/// Class index of queries whose class is not in the settings. It is out of range for any settings.
 const UNKNOWN_CLASS: usize = usize::MAX;
 
-/// Reads the line of an instance as an event; `None` for a kind of line that says nothing to the core.
+/// Converts a line for an instance to an event. Returns `None` if the decision core has no event for this
+/// kind of line.
 ///
 /// # Errors
 ///
-/// A [`WireError`] that names the field that is missing or malformed, or the table that is unknown.
+/// [`WireError::Field`] if a field is missing or invalid, [`WireError::UnknownTable`] if an endpoint list
+/// refers to a table that was not sent.
 pub fn event(
     instance: &mut Instance,
     kind: &str,
@@ -44,7 +46,7 @@
     Ok(Some(event))
 }
 
-/// A list or its changes. One of an unknown `mode` counts as a failed poll.
+/// Converts an endpoint list or changes to it. A list with an unknown `mode` counts as a failed poll.
 fn endpoint_list(servers: &mut ServerNumbers, line: &Value, tables: &Tables) -> Result<Event, WireError> {
     let mode = text(line, "mode")?;
     if !matches!(mode, MODE_CHANGES | MODE_COMPLETE | MODE_CACHED) {
@@ -63,29 +65,30 @@
     Ok(ListedReplica {
         replica: servers.number_of(text(entry, "server")?),
         cell: count_u32(entry, "cell")?,
-        relative_capacity: optional(entry, "scale", number)?.unwrap_or(DEFAULT_SIZE),
+        relative_capacity: optional(entry, "scale", number)?.unwrap_or(DEFAULT_RELATIVE_CAPACITY),
         lifecycle: lifecycle(text(entry, "lifecycle")?),
-        // A start of 0 is the wire's word for none.
+        // The simulator sends 0 if the start time is unknown.
         started_at: optional(entry, "launched", micros)?.filter(|at| at.0 != 0),
     })
 }
 
-/// The wire's word for a lifecycle state. An unknown one takes no new attempts.
-fn lifecycle(word: &str) -> Lifecycle {
-    match word {
+/// Converts the lifecycle state of a server. A server in an unknown state counts as draining, so that it gets
+/// no new attempts.
+fn lifecycle(state: &str) -> Lifecycle {
+    match state {
         "on" => Lifecycle::InService,
         "off" => Lifecycle::Removed,
         _ => Lifecycle::Draining,
     }
 }
 
-/// A query, or a part of one where `range_no` is a shard (it is -1 for the query itself).
+/// Converts a query or one of its parts. The field `range_no` is the shard of a part, and -1 for a query.
 fn query_or_part(instance: &Instance, line: &Value) -> Result<Event, WireError> {
     let id = count_u32(line, "id")?;
     let query_number = count(line, "query")?;
-    let range = integer(line, "range_no")?;
+    let range_number = integer(line, "range_no")?;
     let work_hint = optional(line, "expected", micros)?;
-    if let Ok(shard) = u32::try_from(range) {
+    if let Ok(shard) = u32::try_from(range_number) {
         let weight = number(line, "amount")?;
         return Ok(Event::Part { id, query_number, shard, weight, work_hint });
     }
@@ -111,9 +114,10 @@
     })
 }
 
-/// The wire's word for an outcome. An unknown one is an error after which the part may have run.
-fn outcome(word: &str) -> Outcome {
-    match word {
+/// Converts the outcome of an attempt. An unknown outcome counts as an error after which the part may have
+/// run.
+fn outcome(state_code: &str) -> Outcome {
+    match state_code {
         "ok" => Outcome::Ok,
         "full" => Outcome::Rejected,
         "timeout" => Outcome::Timeout,
--- a/crates/benchlink/src/encode.rs
+++ b/crates/benchlink/src/encode.rs
@@ -1,23 +1,23 @@
-//! Actions of the decision core to lines of the wire.
+//! Converts actions of the decision core to lines for the simulator.
 
 use crate::instance::ServerNumbers;
 use pinetrestle::interface::Action;
 use serde_json::{json, Value};
 
-/// The line that ends the reply to a batch.
+/// Returns the line that ends the reply to a batch.
 pub fn end_of_reply() -> Value {
     json!({"what": "NEXT"})
 }
 
-/// The line that says that the instance `who` has panicked and is gone.
+/// Returns the line that reports that the instance `who` has panicked and was removed.
 pub fn panicked(who: u64, message: &str) -> Value {
     json!({"what": "BAIL_OUT", "who": who, "text": message})
 }
 
-/// The line of an action of the instance `who`.
+/// Returns the line for an action of the instance `who`.
 pub fn action(who: u64, action: &Action, servers: &ServerNumbers) -> Value {
     match action {
-        // The simulator sends at once: an attempt can't be too late for `send_within`.
+        // The simulator sends attempts without delay, so the limit `send_within` can't be exceeded.
         Action::Attempt { part, replica, timeout, send_within: _ } => {
             let server = servers.name_of(*replica);
             json!({"what": "ATTEMPT", "who": who, "id": part, "server": server, "allow_for": timeout.0})
--- a/crates/benchlink/src/error.rs
+++ b/crates/benchlink/src/error.rs
@@ -1,20 +1,20 @@
-//! What can be wrong with the input, or with the pipes.
+//! Errors of the input and of the pipes.
 
 use pinetrestle_settings::fields::FieldError;
 
-/// An error that ends the program. Its message follows the number of the line at fault.
+/// An error that ends the program. Its message is printed after the number of the line of input.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// The line is not JSON.
-    #[error("not JSON: {0}")]
+    #[error("invalid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// A field of the line, or of its settings, is missing or malformed.
+    /// A field of the line, or of the settings in it, is missing or invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// A list refers to a table that was not sent.
-    #[error("field 'ref' names no table: {0}")]
+    /// An endpoint list refers to a table that was not sent. Contains the number of the table.
+    #[error("field 'ref' refers to unknown table {0}")]
     UnknownTable(u64),
-    /// Reading or writing a pipe failed.
+    /// Reading standard input or writing standard output failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the simulator: a front node and the names it was given.
+//! An instance of the simulation: a front node, and its mapping between server names and replica numbers.
 
 use crate::error::WireError;
 use pinetrestle::interface::{Event, Micros, ReplicaId};
@@ -7,24 +7,25 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// One instance.
+/// An instance of the simulation.
 pub struct Instance {
-    /// Its front node.
+    /// The decision core of the instance.
     pub node: FrontNode,
-    /// Its settings, with the names of classes and tenants.
+    /// Settings of the instance, including the names of classes and tenants.
     pub deployment: Deployment,
-    /// Its events of the present batch.
+    /// Events of the instance in the current batch.
     pub events: Vec<Event>,
-    /// Numbers given to servers.
+    /// Replica numbers of the index servers.
     pub servers: ServerNumbers,
 }
 
 impl Instance {
-    /// An instance that starts now. `options` are its settings in the wire page's keys.
+    /// Creates an instance that starts at `now`. `options` are its settings, as
+    /// [`pinetrestle_settings::read`] reads them.
     ///
     /// # Errors
     ///
-    /// The [`pinetrestle_settings::fields::FieldError`] of settings that can't be read.
+    /// [`WireError::Field`] if the settings are invalid.
     pub fn new(seed: u64, options: &Value, now: Micros) -> Result<Instance, WireError> {
         let deployment = pinetrestle_settings::read(options)?;
         Ok(Instance {
@@ -36,17 +37,18 @@
     }
 }
 
-/// An instance's own numbers for servers, given in the order in which its lists named them.
+/// The replica numbers of one instance, assigned to servers in the order in which its endpoint lists name
+/// them.
 #[derive(Default)]
 pub struct ServerNumbers {
-    /// Names by number.
+    /// Server names, by replica number.
     names: Vec<String>,
-    /// Numbers by name.
+    /// Replica numbers, by server name.
     numbers: HashMap<String, ReplicaId>,
 }
 
 impl ServerNumbers {
-    /// The number of a server, a new one where it has none.
+    /// Returns the replica number of a server. Assigns the next number to a server that has none.
     pub fn number_of(&mut self, server: &str) -> ReplicaId {
         if let Some(number) = self.numbers.get(server) {
             return *number;
@@ -57,7 +59,11 @@
         number
     }
 
-    /// The name of a server that was given this number.
+    /// Returns the name of the server with this replica number.
+    ///
+    /// # Panics
+    ///
+    /// If the number has not been assigned.
     pub fn name_of(&self, number: ReplicaId) -> &str {
         &self.names[number as usize]
     }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,13 +1,16 @@
-//! The simulator's wire on standard input and output, in front of pinetrestle's decision core.
+//! Adapter that connects pinetrestle's decision core to the simulator.
 //!
-//! Translation only, no decision: the simulator runs several instances over one pipe, each is a front node
-//! of its own, and its servers' names become replica numbers and back. The wire is a JSON object a line,
-//! grouped in batches: `SYNC` gives the time, events follow, `OVER_TO_YOU` ends the batch and asks for the
-//! actions, and `NEXT` ends the reply.
+//! The program reads lines from standard input and writes lines to standard output. Each line is a JSON
+//! object. The simulator sends batches of lines: `SYNC` contains the time, events follow, and
+//! `OVER_TO_YOU` ends the batch. The program replies with one line per action and `NEXT`.
 //!
-//! - [`session`] reads lines, keeps the instances and writes replies.
-//! - [`instance`] is one front node with the names it was given.
-//! - [`decode`] turns lines into events, [`encode`] turns actions into lines.
+//! The simulator runs several instances over the same pipe. Each instance is a separate front node. The
+//! simulator identifies index servers by name, the decision core by replica number. The adapter only
+//! translates between both formats; all decisions are made by the decision core.
+//!
+//! - [`session`] processes the lines of input, keeps the instances and writes replies.
+//! - [`instance`] contains one front node and its mapping between server names and replica numbers.
+//! - [`decode`] converts lines to events, and [`encode`] converts actions to lines.
 
 #![warn(missing_docs)]
 
@@ -34,7 +37,7 @@
     ExitCode::SUCCESS
 }
 
-/// Takes one line of input; a reply that it brings is flushed, as the simulator waits for it.
+/// Handles one line of input. If the line ends a batch, flushes the reply, which the simulator waits for.
 fn handle_line(
     session: &mut Session,
     line: io::Result<String>,
--- a/crates/benchlink/src/session.rs
+++ b/crates/benchlink/src/session.rs
@@ -1,4 +1,5 @@
-//! The conversation with the simulator: batches in, replies out, instances started and stopped.
+//! The session with the simulator: processes batches of input, starts and stops instances, and writes
+//! replies.
 
 use crate::decode::{self, Tables};
 use crate::encode;
@@ -14,34 +15,35 @@
 use std::io::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// What a line of input has brought about.
+/// Result of handling a line of input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The batch goes on.
+    /// The batch continues.
     WithinBatch,
-    /// The batch has ended and its reply is written.
+    /// The batch has ended and its reply was written.
     Replied,
 }
 
-/// The state of the conversation.
+/// State of the session with the simulator.
 #[derive(Default)]
 pub struct Session {
-    /// The time of the present batch.
+    /// Time of the current batch.
     now: Micros,
-    /// The tables sent so far.
+    /// Tables received so far.
     tables: Tables,
-    /// The instances that run, by the simulator's number.
+    /// Running instances, by the number that the simulator assigned to them.
     instances: BTreeMap<u64, Instance>,
-    /// Instances with an event in this batch, in the order of their first one.
-    touched: Vec<u64>,
+    /// Instances that were started or got an event in this batch, in the order of their first line.
+    active_in_batch: Vec<u64>,
 }
 
 impl Session {
-    /// Takes one line; at the end of a batch writes the reply. Blank lines are skipped.
+    /// Handles one line, and writes the reply if the line ends the batch. Blank lines are ignored.
     ///
     /// # Errors
     ///
-    /// A [`WireError`] when the line is not JSON, a field of it is missing or malformed, or writing fails.
+    /// [`WireError`] if the line is not JSON, a field is missing or invalid, an endpoint list refers to an
+    /// unknown table, or writing the reply fails.
     pub fn handle_line(&mut self, line: &str, output: &mut impl Write) -> Result<Progress, WireError> {
         if line.trim().is_empty() {
             return Ok(Progress::WithinBatch);
@@ -69,31 +71,32 @@
         let who = count(line, "who")?;
         let instance = Instance::new(seed(line)?, field(line, "options")?, self.now)?;
         self.instances.insert(who, instance);
-        self.touch(who);
+        self.mark_active(who);
         Ok(())
     }
 
-    /// Adds an event to the batch of its instance; one for no instance, or for one that doesn't run, is
-    /// skipped.
+    /// Adds an event to the batch of its instance. Lines without an instance, or whose instance is not
+    /// running, are ignored.
     fn add_event(&mut self, kind: &str, line: &Value) -> Result<(), WireError> {
         let Some(who) = optional(line, "who", count)? else { return Ok(()) };
         let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
         if let Some(event) = decode::event(instance, kind, line, &self.tables)? {
             instance.events.push(event);
-            self.touch(who);
+            self.mark_active(who);
         }
         Ok(())
     }
 
-    fn touch(&mut self, who: u64) {
-        if !self.touched.contains(&who) {
-            self.touched.push(who);
+    fn mark_active(&mut self, who: u64) {
+        if !self.active_in_batch.contains(&who) {
+            self.active_in_batch.push(who);
         }
     }
 
-    /// Hands each touched instance its events and writes the actions of all.
+    /// Runs the batch of each instance that is active in it, and writes the actions of all instances. An
+    /// instance that panics is removed.
     fn reply(&mut self, output: &mut impl Write) -> std::io::Result<()> {
-        for who in std::mem::take(&mut self.touched) {
+        for who in std::mem::take(&mut self.active_in_batch) {
             let Some(instance) = self.instances.get_mut(&who) else { continue };
             match run_batch(instance, self.now) {
                 Ok(actions) => {
@@ -111,11 +114,11 @@
     }
 }
 
-/// The actions of an instance for its batch, or the payload of a panic in its front node.
+/// Runs the batch of an instance. Returns its actions, or the payload of a panic in its decision core.
 fn run_batch(instance: &mut Instance, now: Micros) -> Result<Vec<Action>, Box<dyn Any + Send>> {
     let events = std::mem::take(&mut instance.events);
     let node = &mut instance.node;
-    // A front node that panicked is dropped, so that nobody sees its broken state.
+    // Unwind safe, because the caller removes an instance that has panicked, and its state is not used again.
     catch_unwind(AssertUnwindSafe(|| {
         let mut actions = Vec::new();
         node.handle(now, &events, &mut actions);
@@ -128,7 +131,8 @@
     owned.or_else(|| payload.downcast_ref::<&str>().copied()).unwrap_or("panic")
 }
 
-/// The seed, any whole number of 64 bits; a negative one counts by its bits.
+/// Reads the seed, an integer in the range of `u64` or `i64`. A negative integer is converted to the `u64`
+/// with the same bits.
 fn seed(line: &Value) -> Result<u64, FieldError> {
     const KEY: &str = "nonce64";
     let value = field(line, KEY)?;
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The binary on hand-written text of the wire, bad input included.
+//! Runs the binary on handwritten lines of the simulator, including invalid ones.
 
 use serde_json::{json, Value};
 use std::io::Write;
@@ -15,6 +15,7 @@
  "rules":{"cold_share":0.2,"drain_grace":1000000,"fall":1000000,"grace_to_answer":20000,
  "must_ask_in":10000000,"tip_multiple":3.0,"warm_within":9000000},"zone":"hall","something_new":[1,2]}"#;
 
+/// Runs the binary with these lines as its standard input.
 fn run(lines: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pinetrestle-benchlink"))
         .stdin(Stdio::piped())
@@ -25,7 +26,7 @@
     let mut input = child.stdin.take().expect("a pipe");
     let text = lines.to_owned();
     let writer = std::thread::spawn(move || {
-        // The binary may leave before it has read all.
+        // Fails if the binary exits before it has read all lines.
         let _ = input.write_all(text.as_bytes());
     });
     let output = child.wait_with_output().expect("the binary ends");
@@ -33,7 +34,7 @@
     output
 }
 
-/// Replies as lists of actions, one for each batch.
+/// Parses the output into one list of actions per batch.
 fn replies(output: &Output) -> Vec<Vec<Value>> {
     let mut all = vec![Vec::new()];
     for line in String::from_utf8_lossy(&output.stdout).lines() {
@@ -41,18 +42,20 @@
         if line["what"] == "NEXT" {
             all.push(Vec::new());
         } else {
-            all.last_mut().expect("never empty").push(line);
+            all.last_mut().expect("at least one list").push(line);
         }
     }
-    assert_eq!(all.pop(), Some(Vec::new()), "each reply is closed");
+    assert_eq!(all.pop(), Some(Vec::new()), "the last reply does not end with NEXT");
     all
 }
 
+/// Returns a batch with these lines at the time `wall`, in microseconds.
 fn batch(wall: i64, lines: &[String]) -> String {
     let body: String = lines.iter().map(|line| format!("{}\n", line.replace('\n', " "))).collect();
     format!("{{\"what\":\"SYNC\",\"wall\":{wall}}}\n{body}{{\"what\":\"OVER_TO_YOU\"}}\n")
 }
 
+/// Returns the lines that start an instance and send it an endpoint list with two servers.
 fn start_instance(who: u32) -> Vec<String> {
     let item = |server: &str, cell| {
         json!({"az": "hall", "server": server, "scale": 1, "shape": "x", "lifecycle": "on", "launched": null,
@@ -66,6 +69,7 @@
     ]
 }
 
+/// Returns the lines of a query with two parts, which have the ids 11 and 12.
 fn query(who: u32) -> Vec<String> {
     let line = |id: u32, range: i32, amount: f64| {
         json!({"what": "QUERY", "who": who, "id": id, "lane": "lookup", "customer": "one", "route_key": null,
@@ -89,11 +93,15 @@
 
 #[test]
 fn a_query_is_attempted_and_answered() {
-    let sent = run(&(batch(1000, &start_instance(4)) + &batch(6000, &query(4))));
-    let sends = replies(&sent).remove(1);
-    let attempt = actions_of_kind(&sends, "ATTEMPT")[0].clone();
-    assert_eq!(actions_of_kind(&sends, "ATTEMPT").len(), 1, "half of two parts is needed: {sends:?}");
-    assert!(["10.0.0.1:7", "10.0.0.2:7"].contains(&attempt["server"].as_str().expect("text")));
+    let output = run(&(batch(1000, &start_instance(4)) + &batch(6000, &query(4))));
+    let actions = replies(&output).remove(1);
+    let attempt = actions_of_kind(&actions, "ATTEMPT")[0].clone();
+    assert_eq!(
+        actions_of_kind(&actions, "ATTEMPT").len(),
+        1,
+        "a complete answer needs half of the two parts: {actions:?}"
+    );
+    assert!(["10.0.0.1:7", "10.0.0.2:7"].contains(&attempt["server"].as_str().expect("a string")));
     let closed = json!({"what": "CLOSED_ATTEMPT", "who": 4, "id": attempt["id"], "try": 0,
                         "server": attempt["server"], "state_code": "ok", "lag": 90000, "settled": true,
                         "telemetry": {"unheard_of": 1.0}})
@@ -115,40 +123,41 @@
         batch(1000, &start_instance(4)) + &batch(6000, &query(4)) + &batch(96000, &[closed(11), closed(12)]);
     let last = replies(&run(&text)).remove(2);
     assert!(actions_of_kind(&last, "SETTLE_QUERY").is_empty());
-    assert_eq!(actions_of_kind(&last, "ATTEMPT").len(), 1, "it is tried again: {last:?}");
+    assert_eq!(actions_of_kind(&last, "ATTEMPT").len(), 1, "the query is not retried exactly once: {last:?}");
 }
 
 #[test]
 fn a_replica_in_an_unknown_lifecycle_state_gets_no_attempts() {
     let mut lines = start_instance(4);
     lines[1] = lines[1].replace("\"lifecycle\":\"on\"", "\"lifecycle\":\"dozing\"");
-    let sends = replies(&run(&(batch(1000, &lines) + &batch(6000, &query(4))))).remove(1);
-    assert!(actions_of_kind(&sends, "ATTEMPT").is_empty(), "{sends:?}");
+    let actions = replies(&run(&(batch(1000, &lines) + &batch(6000, &query(4))))).remove(1);
+    assert!(actions_of_kind(&actions, "ATTEMPT").is_empty(), "{actions:?}");
 }
 
 #[test]
 fn a_list_of_an_unknown_mode_counts_as_a_failed_poll() {
     let mut lines = start_instance(4);
     lines[2] = lines[2].replace("\"disk\"", "\"hearsay\"");
-    let sends = replies(&run(&(batch(1000, &lines) + &batch(6000, &query(4))))).remove(1);
-    assert!(actions_of_kind(&sends, "ATTEMPT").is_empty());
+    let actions = replies(&run(&(batch(1000, &lines) + &batch(6000, &query(4))))).remove(1);
+    assert!(actions_of_kind(&actions, "ATTEMPT").is_empty());
 }
 
 #[test]
 fn tables_are_resolved_in_the_order_of_events() {
     let mut lines = start_instance(4);
     let empty = json!({"what": "TABLE", "ref": 3, "items": []}).to_string();
-    lines.push(empty); // the same number again, after its use
-    let sends = replies(&run(&(batch(1000, &lines) + &batch(6000, &query(4))))).remove(1);
-    assert_eq!(actions_of_kind(&sends, "ATTEMPT").len(), 1);
+    // Replaces table 3 after the endpoint list that refers to it.
+    lines.push(empty);
+    let actions = replies(&run(&(batch(1000, &lines) + &batch(6000, &query(4))))).remove(1);
+    assert_eq!(actions_of_kind(&actions, "ATTEMPT").len(), 1);
 }
 
 #[test]
 fn an_instance_stopped_and_started_in_one_batch_starts_empty() {
     let mut second = vec![json!({"what": "POWER_OFF", "who": 4}).to_string()];
     second.extend(start_instance(4));
-    let stray = json!({"what": "CANCELLED_BY_CLIENT", "who": 4, "id": 4000000000u32}).to_string();
-    second.push(stray);
+    // Cancels a query of the stopped instance, which the new one doesn't know.
+    second.push(json!({"what": "CANCELLED_BY_CLIENT", "who": 4, "id": 4000000000u32}).to_string());
     second.extend(query(4));
     let text = batch(1000, &start_instance(4)) + &batch(6000, &query(4)) + &batch(9000, &second);
     let last = replies(&run(&text)).remove(2);
@@ -166,12 +175,12 @@
 
 #[test]
 fn unknown_events_and_events_of_unknown_instances_are_skipped() {
-    let odd = vec![
+    let ignored = vec![
         json!({"what": "WEATHER", "who": 4, "sky": "blue"}).to_string(),
         json!({"what": "MEMO", "who": 4, "src": 2, "blob": "aGkgNw=="}).to_string(),
         json!({"what": "RING", "who": 77, "mark": "wake"}).to_string(),
     ];
-    let output = run(&(batch(1000, &start_instance(4)) + &batch(6000, &odd)));
+    let output = run(&(batch(1000, &start_instance(4)) + &batch(6000, &ignored)));
     assert!(output.status.success());
     assert_eq!(replies(&output).len(), 2);
 }
@@ -190,23 +199,26 @@
 fn a_malformed_line_exits_with_one_message_naming_line_and_field() {
     let missing = r#"{"what":"CLOSED_ATTEMPT","who":4,"id":11,"server":"s","state_code":"ok","lag":3}"#;
     let cases = [
-        ("this is no JSON", "line 5: not JSON"),
+        ("this is no JSON", "line 5: invalid JSON"),
         (missing, "line 5: field 'try' is missing"),
         (r#"{"who":4}"#, "line 5: field 'what' is missing"),
-        (r#"{"what":"CANCELLED_BY_CLIENT","who":4,"id":"x"}"#, "line 5: field 'id' is not a count"),
+        (
+            r#"{"what":"CANCELLED_BY_CLIENT","who":4,"id":"x"}"#,
+            "line 5: field 'id' is not a non-negative integer",
+        ),
         (r#"{"what":"CANCELLED_BY_CLIENT","who":4,"id":99999999999}"#, "line 5: field 'id' is out of range"),
         (
             r#"{"what":"PEERS_KNOWN","who":4,"ref":9,"mode":"diff","index":2}"#,
-            "line 5: field 'ref' names no table",
+            "line 5: field 'ref' refers to unknown table 9",
         ),
     ];
     for (line, message) in cases {
         let mut lines = start_instance(4);
         lines.push(line.to_owned());
         let output = run(&batch(1000, &lines));
-        let message_printed = String::from_utf8_lossy(&output.stderr).into_owned();
+        let errors = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{line}");
-        assert!(message_printed.contains(message), "{line}: {message_printed}");
-        assert_eq!(message_printed.lines().count(), 1, "{message_printed}");
+        assert!(errors.contains(message), "{line}: {errors}");
+        assert_eq!(errors.lines().count(), 1, "{errors}");
     }
 }
--- a/crates/settings/src/aliases.rs
+++ b/crates/settings/src/aliases.rs
@@ -1,19 +1,24 @@
-//! Key aliases: settings whose keys another deployment spells in its own words.
+//! Settings of deployments that use other names for some of the keys.
 //!
-//! The wire page names each settings key; a deployment's wire description (its `init` object) may rename
-//! some of them under `init.rename` and `init.words`, keyed by the simulator's own name of the key.
-//! [`KeyAliases`] maps the deployment's spelling onto the wire page's, reads the settings in the wire page's
-//! names, and names a key at fault as the deployment's file spells it.
+//! A settings key has up to three names:
+//! - the canonical key, which [`read`](crate::read) expects, for example `hard_limit`;
+//! - the simulator's key, for example `deadline`;
+//! - the alias that a deployment uses in its settings.
+//!
+//! The wire description of a deployment is a JSON object that contains these aliases: its objects
+//! `init.rename` and `init.words` map the simulator's keys to aliases. [`KeyAliases`] maps the aliases to
+//! canonical keys, reads the settings, and names the key in an error as the settings object spells it.
 
 use crate::fields::{Expected, FieldError, Parsed, Problem};
 use crate::Deployment;
 use serde_json::{Map, Value};
 use std::collections::HashMap;
 
-/// The keys that a wire description may rename: the simulator's own name of each, and the wire page's.
+/// The keys that a wire description may rename, as pairs of the simulator's key and the canonical key.
 ///
-/// A dotted own name (`rules.budget_share`) is looked up whole in the description; its last segment is the
-/// key as it stands in a settings object. The last three are the words for a class's `effect`.
+/// A simulator's key with a dot (`rules.budget_share`) appears as a whole in a wire description. In a
+/// settings object only its last segment is used. The last three pairs are values of `effect` rather than
+/// keys.
 const RENAMEABLE_KEYS: [(&str, &str); 35] = [
     ("zones", "azs"),
     ("tier", "layer"),
@@ -52,115 +57,120 @@
     ("unsafe", "fragile"),
 ];
 
-/// The key of a wire description that holds its renames.
+/// Key of the object in a wire description that contains the aliases.
 const INIT_KEY: &str = "init";
-/// The objects under `init` that rename keys and words; both are read alike.
+/// Keys of the objects in `init` that contain aliases. Both are read in the same way.
 const RENAME_GROUPS: [&str; 2] = ["rename", "words"];
-/// The settings key whose string value is itself a renameable word.
+/// The canonical key whose string value may also have an alias.
 const EFFECT_KEY: &str = "effect";
 
-/// How a deployment's settings spell their keys, mapped onto the wire page's names.
+/// The aliases that a deployment uses for settings keys.
 ///
-/// The default maps nothing: the settings are read as the wire page names them.
+/// The default has no aliases and reads settings with canonical keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyAliases {
-    /// The deployment's name of a key or effect word -> the wire page's name.
-    to_wire: HashMap<String, String>,
+    /// Canonical keys and values of `effect`, by alias.
+    canonical_by_alias: HashMap<String, String>,
 }
 
 impl KeyAliases {
-    /// Reads the aliases of a wire description in the operators' form: an object with `init`, which may hold
-    /// the objects `init.rename` and `init.words` of simulator names to the deployment's names.
+    /// Reads the aliases from a wire description: an object with the key `init`, whose optional objects
+    /// `rename` and `words` map the simulator's keys to aliases.
     ///
-    /// A renameable key that the description leaves alone keeps the simulator's own name. Renames of keys
-    /// that the settings don't use are ignored.
+    /// For a key without an alias in the description, the alias is the simulator's key. Aliases of keys that
+    /// are not read from the settings are ignored.
     ///
     /// # Errors
     ///
-    /// A [`FieldError`] when `init` is absent (key `init`), when `init.rename` or `init.words` is not an
-    /// object, or when one of their values is not a string (key `init.rename.<name>`).
+    /// [`FieldError`] if `init` is missing, if `init.rename` or `init.words` is not an object, or if one of
+    /// their values is not a string (with the key `init.rename.<name>` or `init.words.<name>`).
     pub fn from_wire_description(wire: &Value) -> Parsed<KeyAliases> {
         let init = wire.get(INIT_KEY).ok_or_else(|| FieldError::new(INIT_KEY, Problem::Missing))?;
-        let mut to_wire = HashMap::new();
+        let mut canonical_by_alias = HashMap::new();
         for group in RENAME_GROUPS {
             if let Some(renames) = init.get(group) {
-                add_renames(&mut to_wire, group, renames).map_err(|error| error.within(INIT_KEY))?;
+                add_renames(&mut canonical_by_alias, group, renames)
+                    .map_err(|error| error.within(INIT_KEY))?;
             }
         }
-        add_unrenamed_keys(&mut to_wire, init);
-        Ok(KeyAliases { to_wire })
+        add_simulator_keys(&mut canonical_by_alias, init);
+        Ok(KeyAliases { canonical_by_alias })
     }
 
-    /// Reads a settings object spelled with these aliases, as [`crate::read`] reads one in the wire page's
-    /// names.
+    /// Reads a settings object that uses these aliases, in the same way as [`crate::read`] reads one with
+    /// canonical keys.
     ///
     /// # Errors
     ///
-    /// The [`FieldError`] of [`crate::read`], its key spelled as the settings object spells it.
+    /// The [`FieldError`] of [`crate::read`], with its key as the settings object spells it.
     pub fn read(&self, options: &Value) -> Parsed<Deployment> {
-        if self.to_wire.is_empty() {
+        if self.canonical_by_alias.is_empty() {
             return crate::read(options);
         }
-        crate::read(&self.to_wire_names(options)).map_err(|error| self.to_file_names(error))
+        crate::read(&self.canonical_options(options)).map_err(|error| self.error_with_aliases(error))
     }
 
-    /// The same value with its keys, and the words of its effects, in the wire page's names.
-    fn to_wire_names(&self, value: &Value) -> Value {
+    /// Returns the value with canonical keys and canonical values of `effect`.
+    fn canonical_options(&self, value: &Value) -> Value {
         match value {
             Value::Object(object) => {
                 let renamed = object.iter().map(|(key, value)| {
-                    let wire_key = self.to_wire.get(key).unwrap_or(key).clone();
-                    let value = match (wire_key.as_str(), value) {
+                    let canonical_key = self.canonical_by_alias.get(key).unwrap_or(key).clone();
+                    let value = match (canonical_key.as_str(), value) {
                         (EFFECT_KEY, Value::String(word)) => {
-                            Value::from(self.to_wire.get(word).unwrap_or(word).as_str())
+                            Value::from(self.canonical_by_alias.get(word).unwrap_or(word).as_str())
                         }
-                        _ => self.to_wire_names(value),
+                        _ => self.canonical_options(value),
                     };
-                    (wire_key, value)
+                    (canonical_key, value)
                 });
                 Value::Object(renamed.collect::<Map<_, _>>())
             }
-            Value::Array(items) => Value::Array(items.iter().map(|item| self.to_wire_names(item)).collect()),
+            Value::Array(items) => {
+                Value::Array(items.iter().map(|item| self.canonical_options(item)).collect())
+            }
             other => other.clone(),
         }
     }
 
-    /// The same error with each segment of its key path spelled as the settings object spells it.
-    fn to_file_names(&self, error: FieldError) -> FieldError {
-        let file_name = |segment: &str| {
+    /// Returns the error with each segment of its key replaced by the alias that the settings object uses.
+    fn error_with_aliases(&self, error: FieldError) -> FieldError {
+        let with_alias = |segment: &str| {
             let (name, index) = segment.split_at(segment.find('[').unwrap_or(segment.len()));
-            let alias = self.to_wire.iter().find(|(_, wire_name)| *wire_name == name);
-            format!("{}{index}", alias.map_or(name, |(file_name, _)| file_name))
+            let entry = self.canonical_by_alias.iter().find(|(_, canonical)| *canonical == name);
+            format!("{}{index}", entry.map_or(name, |(alias, _)| alias))
         };
-        let key = error.key.split('.').map(file_name).collect::<Vec<_>>().join(".");
+        let key = error.key.split('.').map(with_alias).collect::<Vec<_>>().join(".");
         FieldError { key, ..error }
     }
 }
 
-/// Adds the renames of one group of `init` (`rename` or `words`) that concern renameable keys.
-fn add_renames(to_wire: &mut HashMap<String, String>, group: &str, renames: &Value) -> Parsed<()> {
+/// Adds the aliases of renameable keys from one object of `init` (`rename` or `words`).
+fn add_renames(canonical_by_alias: &mut HashMap<String, String>, group: &str, renames: &Value) -> Parsed<()> {
     let renames =
         renames.as_object().ok_or_else(|| FieldError::new(group, Problem::WrongType(Expected::Object)))?;
-    for (own, theirs) in renames {
-        let theirs =
-            theirs.as_str().ok_or_else(|| FieldError::new(own, Problem::NotAString).within(group))?;
-        // A key that the settings don't read needs no alias.
-        if let Some((_, wire_name)) = RENAMEABLE_KEYS.iter().find(|(known, _)| known == own) {
-            to_wire.insert(theirs.to_owned(), (*wire_name).to_owned());
+    for (simulator_key, alias) in renames {
+        let alias = alias
+            .as_str()
+            .ok_or_else(|| FieldError::new(simulator_key, Problem::NotAString).within(group))?;
+        // Wire descriptions may also rename keys that are not read from the settings. These are ignored.
+        if let Some((_, canonical)) = RENAMEABLE_KEYS.iter().find(|(known, _)| known == simulator_key) {
+            canonical_by_alias.insert(alias.to_owned(), (*canonical).to_owned());
         }
     }
     Ok(())
 }
 
-/// Maps the simulator's own name of each renameable key that `init` leaves alone, so that a deployment that
-/// renames only some keys still reads the others in the simulator's names.
-fn add_unrenamed_keys(to_wire: &mut HashMap<String, String>, init: &Value) {
-    for (own, wire_name) in RENAMEABLE_KEYS {
-        let renamed =
-            RENAME_GROUPS.iter().any(|group| init.get(group).and_then(|renames| renames.get(own)).is_some());
-        if !renamed {
-            let key = own.rsplit('.').next().unwrap_or(own);
-            to_wire.entry(key.to_owned()).or_insert_with(|| wire_name.to_owned());
+/// Adds the simulator's key as the alias of each renameable key that `init` doesn't rename. A deployment that
+/// renames some keys uses the simulator's keys for the others.
+fn add_simulator_keys(canonical_by_alias: &mut HashMap<String, String>, init: &Value) {
+    for (simulator_key, canonical) in RENAMEABLE_KEYS {
+        let is_renamed = RENAME_GROUPS
+            .iter()
+            .any(|group| init.get(group).and_then(|renames| renames.get(simulator_key)).is_some());
+        if !is_renamed {
+            let key = simulator_key.rsplit('.').next().unwrap_or(simulator_key);
+            canonical_by_alias.entry(key.to_owned()).or_insert_with(|| canonical.to_owned());
         }
     }
 }
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,41 +1,42 @@
-//! What a deployment's settings state: the decision core's settings, the names of classes and tenants, and the
-//! connection figures that concern the host alone.
+//! The settings of a deployment: those of the decision core, the names of classes and tenants, and the
+//! connection parameters that only the host uses.
 
 use pinetrestle::interface::{Micros, Settings};
 
-/// Everything that the settings of a deployment state.
+/// The settings of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// What the decision core is given.
+    /// Settings of the decision core.
     pub settings: Settings,
-    /// The names of the classes, in the order of `settings.classes`.
+    /// Names of the classes, in the order of `settings.classes`.
     pub classes: Vec<String>,
-    /// The names of the tenants, in the order of `settings.tenants`.
+    /// Names of the tenants, in the order of `settings.tenants`.
     pub tenants: Vec<String>,
-    /// What concerns the connections to index servers alone.
+    /// Parameters of the connections to index servers.
     pub transport: Transport,
 }
 
-/// Figures of the connections to index servers. What the settings leave out is the host's to default.
+/// Parameters of the connections to index servers. The host chooses a default for each one that the settings
+/// don't contain.
 #[derive(Clone, Debug, Default)]
 pub struct Transport {
-    /// Number of shards, where stated (`family_info.slabs`).
+    /// Number of shards (key `family_info.slabs`).
     pub shards: Option<u32>,
-    /// Parts that one connection carries at once (`permissions.streams_per_conn`).
+    /// Maximum number of parts in flight on one connection (key `permissions.streams_per_conn`).
     pub streams_per_conn: Option<u32>,
-    /// A connection without traffic for this long is closed by the index server (`permissions.conn_idle`).
+    /// Time without traffic after which an index server closes a connection (key `permissions.conn_idle`).
     pub conn_idle: Option<Micros>,
-    /// A connection that is not up after this long has failed (`permissions.connect_timeout`).
+    /// Maximum time for establishing a connection (key `permissions.connect_timeout`).
     pub connect_timeout: Option<Micros>,
 }
 
 impl Deployment {
-    /// The index of the class of this name in `settings.classes`, if there is one.
+    /// Returns the index in `settings.classes` of the class with this name, or `None` if there is none.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|known| known == name)
     }
 
-    /// The index of the tenant of this name in `settings.tenants`, if there is one.
+    /// Returns the index in `settings.tenants` of the tenant with this name, or `None` if there is none.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|known| known == name)
     }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,22 +1,21 @@
-//! Typed readers of the fields of a JSON object, each error naming the key at fault.
+//! Typed readers for the fields of a JSON object.
 //!
-//! Every reader takes the object and a key, and returns the value in its Rust type or a [`FieldError`]
-//! that names the key. A caller that reads an inner object prefixes the outer key with
-//! [`FieldError::within`], so that the error names the key by its whole path (`rules.fall`,
-//! `classes[1].aim`).
+//! Each reader takes the object and a key, and returns the value as a Rust type, or a [`FieldError`] that
+//! contains the key. When a caller reads a nested object, it prefixes the key in errors with
+//! [`FieldError::within`], so that an error contains the full path (`rules.fall`, `classes[1].aim`).
 
 use pinetrestle::interface::Micros;
 use serde_json::Value;
 use std::fmt;
 
-/// The JSON value that a reader expected, as an error message says it.
+/// The kind of JSON value that a reader expected. Its `Display` text is used in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// A whole number that fits `i64`.
+    /// An integer in the range of `i64`.
     Integer,
-    /// A whole number from 0 on that fits `u64`.
+    /// An integer in the range of `u64`.
     Count,
-    /// Any JSON number, as `f64`.
+    /// Any JSON number, read as `f64`.
     Number,
     /// A JSON string.
     Text,
@@ -31,36 +30,38 @@
 impl fmt::Display for Expected {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Expected::Integer => "a whole number",
-            Expected::Count => "a count",
+            Expected::Integer => "an integer",
+            Expected::Count => "a non-negative integer",
             Expected::Number => "a number",
-            Expected::Text => "text",
-            Expected::Boolean => "true or false",
-            Expected::List => "a list",
+            Expected::Text => "a string",
+            Expected::Boolean => "a boolean",
+            Expected::List => "an array",
             Expected::Object => "an object",
         })
     }
 }
 
-/// What is wrong with the value of a key. Its message follows the key: `field 'fleet_size' is missing`.
+/// The problem with the value of a key. Its message is printed after the key, as in
+/// `field 'fleet_size' is missing`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
     /// The key is absent, or its value is `null`.
     #[error("is missing")]
     Missing,
-    /// The value is of another JSON type than the one expected.
+    /// The value is not of the expected kind.
     #[error("is not {0}")]
     WrongType(Expected),
-    /// A count that doesn't fit `u32`.
+    /// The value is a non-negative integer outside the range of `u32`.
     #[error("is out of range")]
     OutOfRange,
-    /// A per-class list of `family_info` has no number at this class's index (counted from 0).
+    /// An array in `family_info` with one number per class has no number at this class index, which starts
+    /// at 0.
     #[error("has no number for class {0}")]
     NoNumberForClass(usize),
-    /// A value of a wire description's renames is not a string.
-    #[error("is no name")]
+    /// The alias of a key in a wire description (see [`KeyAliases`](crate::KeyAliases)) is not a string.
+    #[error("is not a string")]
     NotAString,
-    /// A check of the caller's own failed on a value that the readers accepted; the text says what is wrong.
+    /// A check of the caller failed. Contains the message.
     #[error("{0}")]
     Invalid(String),
 }
@@ -77,35 +78,35 @@
     }
 }
 
-/// A key whose value can't be read, and what is wrong with it.
+/// Error for a key whose value is missing or invalid.
 ///
-/// Its message is `field '<key>' <problem>`, e.g. `field 'rules.fall' is missing`.
+/// The message is `field '<key>' <problem>`, for example `field 'rules.fall' is missing`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field '{key}' {problem}")]
 pub struct FieldError {
-    /// The key by its whole path from the object that was read: `rules.fall`, `classes[1].aim`.
+    /// Path of the key from the outermost object: `rules.fall`, `classes[1].aim`.
     pub key: String,
-    /// What is wrong with its value.
+    /// The problem with the value of the key.
     pub problem: Problem,
 }
 
 impl FieldError {
-    /// An error of the key; `problem` is a [`Problem`], or a text that says what is wrong.
+    /// Creates an error for a key. `problem` is a [`Problem`] or the text of a [`Problem::Invalid`].
     pub fn new(key: &str, problem: impl Into<Problem>) -> FieldError {
         FieldError { key: key.to_owned(), problem: problem.into() }
     }
 
-    /// The same error seen from the object around it: its key is prefixed with `outer` and a dot.
+    /// Returns the error with `outer` and a dot prepended to its key, for a key inside the object at `outer`.
     #[must_use]
     pub fn within(self, outer: &str) -> FieldError {
         FieldError { key: format!("{outer}.{}", self.key), ..self }
     }
 }
 
-/// The result of reading a value from settings.
+/// Result of reading a value from a JSON object.
 pub type Parsed<T> = Result<T, FieldError>;
 
-/// The value of the key, which must be there and not `null`.
+/// Returns the value of a key, which must be present and not `null`.
 ///
 /// # Errors
 ///
@@ -117,7 +118,7 @@
     }
 }
 
-/// The value of the key, converted by `convert`, which gives `None` where the value is not `expected`.
+/// Reads the value of a key with `convert`, which returns `None` if the value is not of the kind `expected`.
 fn read_as<'a, T>(
     value: &'a Value,
     name: &str,
@@ -127,7 +128,7 @@
     convert(field(value, name)?).ok_or_else(|| FieldError::new(name, Problem::WrongType(expected)))
 }
 
-/// A whole number that fits `i64`.
+/// Reads an integer in the range of `i64`.
 ///
 /// # Errors
 ///
@@ -136,7 +137,7 @@
     read_as(value, name, Expected::Integer, Value::as_i64)
 }
 
-/// A whole number from 0 on that fits `u64`.
+/// Reads an integer in the range of `u64`.
 ///
 /// # Errors
 ///
@@ -145,25 +146,26 @@
     read_as(value, name, Expected::Count, Value::as_u64)
 }
 
-/// A count that fits `u32` (below 2^32).
+/// Reads an integer in the range of `u32`.
 ///
 /// # Errors
 ///
-/// [`Problem::Missing`], [`Problem::WrongType`] for a value that is no count, or [`Problem::OutOfRange`].
+/// [`Problem::Missing`], [`Problem::WrongType`] for a value that is not an integer in the range of `u64`, or
+/// [`Problem::OutOfRange`] for one of 2^32 or more.
 pub fn count_u32(value: &Value, name: &str) -> Parsed<u32> {
     u32::try_from(count(value, name)?).map_err(|_| FieldError::new(name, Problem::OutOfRange))
 }
 
-/// A time in microseconds, as a whole number.
+/// Reads a time in microseconds, which must be an integer in the range of `i64`.
 ///
 /// # Errors
 ///
-/// [`Problem::Missing`], or [`Problem::WrongType`] for a value that is no whole number.
+/// [`Problem::Missing`], or [`Problem::WrongType`] for any other value.
 pub fn micros(value: &Value, name: &str) -> Parsed<Micros> {
     integer(value, name).map(Micros)
 }
 
-/// Any number, as `f64`.
+/// Reads any number as `f64`.
 ///
 /// # Errors
 ///
@@ -172,7 +174,7 @@
     read_as(value, name, Expected::Number, Value::as_f64)
 }
 
-/// A string.
+/// Reads a string.
 ///
 /// # Errors
 ///
@@ -181,7 +183,7 @@
     read_as(value, name, Expected::Text, Value::as_str)
 }
 
-/// `true` or `false`.
+/// Reads a boolean.
 ///
 /// # Errors
 ///
@@ -190,7 +192,7 @@
     read_as(value, name, Expected::Boolean, Value::as_bool)
 }
 
-/// An array.
+/// Reads an array.
 ///
 /// # Errors
 ///
@@ -199,7 +201,7 @@
     read_as(value, name, Expected::List, Value::as_array)
 }
 
-/// A key that may be absent: `None` where it is absent or `null`, else what `read` makes of it.
+/// Reads an optional key with `read`. Returns `None` if the key is absent or `null`.
 ///
 /// # Errors
 ///
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,20 +1,21 @@
-//! Reads a deployment's settings, a JSON object in the keys and units of the operators' wire page, into
-//! the decision core's [`Settings`](pinetrestle::interface::Settings).
+//! Reads the settings of a deployment, a JSON object, into the
+//! [`Settings`](pinetrestle::interface::Settings) of the decision core.
 //!
-//! The simulator's adapter (`crates/benchlink`) and the real front node (`crates/node`) both read their
-//! settings here, so that the decision core decides from the same figures in both.
+//! The simulator adapter (`crates/benchlink`) and the front node (`crates/node`) both read their settings
+//! with this crate, so that the decision core gets the same values in both.
 //!
-//! The crate owns three things:
-//! - [`read`], which turns a settings object into a [`Deployment`]: the core's settings, the names of
-//!   classes and tenants, and the connection figures of [`Transport`]. Absent optional keys get their
-//!   neutral defaults here.
-//! - [`fields`], the typed readers of single keys that [`read`] is built from, and its error type
-//!   [`fields::FieldError`], which names the failing key by its whole path (`classes[1].aim`). The other
-//!   crates read their own JSON with these readers too.
-//! - [`KeyAliases`], for a deployment whose settings spell keys otherwise than the wire page: it maps their
-//!   keys onto the wire page's, reads them with [`read`], and names a failing key as their file spells it.
+//! - [`read`] reads a settings object into a [`Deployment`]: the settings of the decision core, the names
+//!   of classes and tenants, and the connection parameters in [`Transport`]. Absent optional keys get their
+//!   neutral defaults. The keys that [`read`] expects are the canonical keys, as the operators' description
+//!   of the wire format names them.
+//! - [`KeyAliases`] reads the settings of a deployment that uses other names for some of the keys. It maps
+//!   these aliases to the canonical keys, calls [`read`], and names the key in an error as the settings
+//!   object spells it.
+//! - [`fields`] has typed readers for single keys of a JSON object. Their error,
+//!   [`FieldError`](fields::FieldError), contains the full path of the key (`classes[1].aim`). Other crates
+//!   also read their JSON with these readers.
 //!
-//! Times are microseconds ([`Micros`](pinetrestle::interface::Micros)) throughout, as on the wire.
+//! All times are in microseconds ([`Micros`](pinetrestle::interface::Micros)), as on the wire.
 
 #![warn(missing_docs)]
 
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a settings object in the wire page's keys into a [`Deployment`].
+//! Reads a settings object with canonical keys into a [`Deployment`].
 
 use crate::fields::{
     count, count_u32, field, flag, list, micros, number, optional, text, FieldError, Parsed, Problem,
@@ -7,24 +7,25 @@
 use pinetrestle::interface::{Class, Idempotency, Limits, Micros, RetryBudget, Rules, Settings, Tenant};
 use serde_json::Value;
 
-/// The `effect` of a class whose attempts may be retried freely; any other word reads as not idempotent.
+/// Value of `effect` for a class whose parts are idempotent and may be retried freely.
 const EFFECT_RETRYABLE: &str = "retryable";
-/// The `effect` of a class whose attempts may be retried with an idempotency key.
+/// Value of `effect` for a class whose parts carry an idempotency key, which makes retries safe.
 const EFFECT_DEDUP: &str = "dedup";
-/// The `discovery` under which the endpoint list is pushed; under any other the front node polls.
+/// Value of `discovery` if the endpoint list is pushed. With any other value the front node polls the list.
 const DISCOVERY_PUSH: &str = "push";
-/// The share of its priority weight that a query over its tenant's quota earns where `over_share_worth` is absent.
+/// Default of `over_share_worth`: the share of its priority weight that a query over the quota of its tenant
+/// has.
 const DEFAULT_OVER_QUOTA_WEIGHT_SHARE: f64 = 1.0;
-/// The neutral value of an absent optional number: `aim_stretch`, `fees.waste`, `extra_floor`,
+/// Neutral default of the optional numbers `aim_stretch`, `fees.waste`, `extra_floor` and
 /// `extra_per_request`.
-const ABSENT_NUMBER: f64 = 0.0;
+const DEFAULT_NUMBER: f64 = 0.0;
 
-/// Runs `read` on the inner object of the key; its errors name the key by the whole path.
+/// Runs `read` on the object at the given key. Errors contain the full path of their key.
 fn read_nested<T>(value: &Value, key: &str, read: impl Fn(&Value) -> Parsed<T>) -> Parsed<T> {
     read(field(value, key)?).map_err(|error| error.within(key))
 }
 
-/// The `name` of each object in the list of the key.
+/// Reads the `name` of each object in the array at the given key.
 fn read_names(value: &Value, key: &str) -> Parsed<Vec<String>> {
     let items = list(value, key)?.iter().enumerate();
     items
@@ -35,35 +36,35 @@
         .collect()
 }
 
-/// The class's number in a per-class list of `family_info`.
-fn class_figure(family_info: &Value, class_index: usize, key: &str) -> Parsed<f64> {
+/// Reads the number of a class from an array in `family_info` that has one number per class.
+fn per_class_number(family_info: &Value, class_index: usize, key: &str) -> Parsed<f64> {
     let found = list(family_info, key)?.get(class_index).and_then(Value::as_f64);
     found.ok_or_else(|| FieldError::new(key, Problem::NoNumberForClass(class_index)))
 }
 
-/// The wire's word for a class's effect, in the core's terms.
-fn effect(word: &str) -> Idempotency {
-    match word {
+/// Converts the value of `effect`. Classes with an unknown value are not idempotent.
+fn idempotency(effect: &str) -> Idempotency {
+    match effect {
         EFFECT_RETRYABLE => Idempotency::Idempotent,
         EFFECT_DEDUP => Idempotency::Keyed,
         _ => Idempotency::NonIdempotent,
     }
 }
 
-/// One class of `classes`, with its figures from the per-class lists of `family_info`.
+/// Reads the class at `index` of `classes`, with its numbers from the arrays in `family_info`.
 fn read_class(class: &Value, family_info: &Value, index: usize) -> Parsed<Class> {
     let per_class =
-        |key: &str| class_figure(family_info, index, key).map_err(|error| error.within("family_info"));
+        |key: &str| per_class_number(family_info, index, key).map_err(|error| error.within("family_info"));
     let in_class = |error: FieldError| error.within(&format!("classes[{index}]"));
     Ok(Class {
         latency_objective: micros(class, "aim").map_err(in_class)?,
         objective_work_factor: optional(class, "aim_stretch", number)
             .map_err(in_class)?
-            .unwrap_or(ABSENT_NUMBER),
+            .unwrap_or(DEFAULT_NUMBER),
         deadline: micros(class, "hard_limit").map_err(in_class)?,
         priority_weight: number(class, "gain").map_err(in_class)?,
         late_weight_share: number(class, "late_worth").map_err(in_class)?,
-        idempotency: effect(text(class, "effect").map_err(in_class)?),
+        idempotency: idempotency(text(class, "effect").map_err(in_class)?),
         idempotency_window: micros(class, "dedup_window").map_err(in_class)?,
         complete_share: per_class("need_by_class")?,
         partial_min_share: per_class("class_floor")?,
@@ -72,8 +73,8 @@
     })
 }
 
-/// The limits of `permissions`; `batch` comes from `family_info`.
-fn read_limits(permissions: &Value, batch: u32) -> Parsed<Limits> {
+/// Reads the limits from the object `permissions`. `max_batch` is the value of `family_info.batch`.
+fn read_limits(permissions: &Value, max_batch: u32) -> Parsed<Limits> {
     Ok(Limits {
         max_attempts: count_u32(permissions, "try_limit")?,
         allow_hedging: flag(permissions, "may_duplicate")?,
@@ -81,23 +82,23 @@
         send_retry_after: flag(permissions, "retry_after")?,
         max_retry_after: optional(permissions, "max_retry_after", micros)?.unwrap_or_default(),
         max_in_flight: count_u32(permissions, "most_held")?,
-        max_batch: batch,
+        max_batch,
     })
 }
 
-/// The retry budget, where `counted_over` states its window.
+/// Reads the retry budget from the object `rules`. Returns `None` if `counted_over`, its window, is absent.
 fn read_retry_budget(rules: &Value) -> Parsed<Option<RetryBudget>> {
     let Some(window) = optional(rules, "counted_over", micros)? else {
         return Ok(None);
     };
     Ok(Some(RetryBudget {
         window,
-        min_retries: optional(rules, "extra_floor", number)?.unwrap_or(ABSENT_NUMBER),
-        retry_ratio: optional(rules, "extra_per_request", number)?.unwrap_or(ABSENT_NUMBER),
+        min_retries: optional(rules, "extra_floor", number)?.unwrap_or(DEFAULT_NUMBER),
+        retry_ratio: optional(rules, "extra_per_request", number)?.unwrap_or(DEFAULT_NUMBER),
     }))
 }
 
-/// The object `rules`.
+/// Reads the object `rules`.
 fn read_rules(rules: &Value) -> Parsed<Rules> {
     let retry_budget = read_retry_budget(rules)?;
     Ok(Rules {
@@ -110,7 +111,7 @@
     })
 }
 
-/// The connection figures, from `family_info.slabs` and the object `permissions`.
+/// Reads the connection parameters from `family_info.slabs` and the object `permissions`.
 fn read_transport(options: &Value, family_info: &Value) -> Parsed<Transport> {
     let shards = optional(family_info, "slabs", count_u32).map_err(|error| error.within("family_info"))?;
     read_nested(options, "permissions", |permissions| {
@@ -123,13 +124,14 @@
     })
 }
 
-/// One tenant of `projects`.
+/// Reads the tenant at `index` of `projects`.
 fn read_tenant(tenant: &Value, index: usize) -> Parsed<Tenant> {
     let quota = number(tenant, "quota_per_s").map_err(|error| error.within(&format!("projects[{index}]")));
     quota.map(|quota_per_s| Tenant { quota_per_s })
 }
 
-/// An optional key of an optional inner object, read by `read`: `None` where either is absent.
+/// Reads the optional key `key` of the optional object `group` with `read`. Returns `None` if either is
+/// absent.
 fn read_optional_in<T>(
     options: &Value,
     group: &str,
@@ -137,21 +139,22 @@
     read: impl Fn(&Value, &str) -> Parsed<T>,
 ) -> Parsed<Option<T>> {
     match options.get(group) {
-        Some(found) => optional(found, key, read).map_err(|error| error.within(group)),
+        Some(object) => optional(object, key, read).map_err(|error| error.within(group)),
         None => Ok(None),
     }
 }
 
-/// Reads a settings object in the wire page's keys into a [`Deployment`].
+/// Reads a settings object with canonical keys into a [`Deployment`].
 ///
-/// Times are whole microseconds; absent optional keys take their neutral values (no retry budget, no price of
-/// waste, an over-quota weight of 1, polled discovery where `discovery` is not `push`).
+/// Times are integers in microseconds. Absent optional keys get neutral defaults: no retry budget, no cost
+/// of wasted work, and the full priority weight for queries over their tenant's quota. The endpoint list is
+/// polled unless `discovery` is `push`.
 ///
 /// # Errors
 ///
-/// The first [`FieldError`] met: a key that is missing or of the wrong JSON type, a count out of the range
-/// of `u32`, a per-class list of `family_info` too short for the classes. Its key is the whole path from
-/// the settings object, e.g. `classes[1].aim`.
+/// [`FieldError`] for the first invalid key: one that is missing or of the wrong JSON type, an integer
+/// outside the range of `u32`, or an array in `family_info` with fewer numbers than there are classes. The
+/// key in the error is the full path from the settings object, for example `classes[1].aim`.
 pub fn read(options: &Value) -> Parsed<Deployment> {
     let family_info = field(options, "family_info")?;
     let classes = list(options, "classes")?.iter().enumerate();
@@ -163,20 +166,20 @@
     let marks_retries = read_optional_in(options, "clients", "marks_retry", flag)?;
     let cell_count = in_family_info("positions")?;
     let cells_per_shard = in_family_info("span")?;
-    let batch = in_family_info("batch")?;
+    let max_batch = in_family_info("batch")?;
     let settings = Settings {
         fleet_size: count_u32(options, "fleet_size")?,
         classes,
         tenants: tenants.collect::<Parsed<_>>()?,
         over_quota_weight_share: optional(options, "over_share_worth", number)?
             .unwrap_or(DEFAULT_OVER_QUOTA_WEIGHT_SHARE),
-        wasted_work_cost: read_optional_in(options, "fees", "waste", number)?.unwrap_or(ABSENT_NUMBER),
+        wasted_work_cost: read_optional_in(options, "fees", "waste", number)?.unwrap_or(DEFAULT_NUMBER),
         clients_mark_retries: marks_retries.unwrap_or(false),
         poll_endpoint_list: text(options, "discovery")? != DISCOVERY_PUSH,
         cell_count,
         cells_per_shard,
         tick: Micros(count(options, "quantum")? as i64),
-        limits: read_nested(options, "permissions", |permissions| read_limits(permissions, batch))?,
+        limits: read_nested(options, "permissions", |permissions| read_limits(permissions, max_batch))?,
         rules: read_nested(options, "rules", read_rules)?,
     };
     let classes = read_names(options, "classes")?;
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -1,5 +1,5 @@
-//! Reading settings as the operators' wire page names them, or as a deployment's key aliases spell them,
-//! and errors that name the failing key by its whole path.
+//! Tests of reading settings with canonical keys and with the aliases of a deployment, and of errors, which
+//! contain the full path of the key.
 
 use pinetrestle::interface::{Idempotency, Micros};
 use pinetrestle_settings::fields::{count, field, optional, text, Expected, FieldError, Parsed, Problem};
@@ -7,6 +7,7 @@
 use pinetrestle_standins::with_setting_aliases;
 use serde_json::{json, Value};
 
+/// Valid settings with canonical keys.
 fn options() -> Value {
     json!({
         "fleet_size": 3, "discovery": "push", "quantum": 5000, "over_share_worth": 0.05,
@@ -20,18 +21,20 @@
         "clients": {"marks_retry": true}, "fees": {"waste": 0.03},
         "family_info": {"batch": 16, "positions": 6, "span": 2, "slabs": 18, "need_by_class": [0.75, 1.0],
             "class_floor": [0.75, 1.0], "partial_earns": [0.9, 0.8], "second_step": [0, 3]},
-        "permissions": {"cancel": true, "may_duplicate": false, "retry_after": true, "max_retry_after": 500_000,
-            "try_limit": 4, "most_held": 303, "conn_idle": 15_000_000, "connect_timeout": 250_000,
+        "permissions": {"cancel": true, "may_duplicate": false, "retry_after": true,
+            "max_retry_after": 500_000, "try_limit": 4, "most_held": 303,
+            "conn_idle": 15_000_000, "connect_timeout": 250_000,
             "streams_per_conn": 32},
         "rules": {"cold_share": 0.29, "warm_within": 17_000_000, "tip_multiple": 3.0, "fall": 2_000_000,
-            "must_ask_in": 10_000_000, "counted_over": 5_000_000, "extra_floor": 20, "extra_per_request": 0.2},
+            "must_ask_in": 10_000_000, "counted_over": 5_000_000, "extra_floor": 20,
+            "extra_per_request": 0.2},
     })
 }
 
 #[test]
 fn every_stated_key_is_read() {
-    let found = pinetrestle_settings::read(&options()).expect("good settings");
-    let set = &found.settings;
+    let deployment = pinetrestle_settings::read(&options()).expect("valid settings");
+    let set = &deployment.settings;
     assert_eq!((set.fleet_size, set.cell_count, set.cells_per_shard, set.limits.max_batch), (3, 6, 2, 16));
     assert!(!set.poll_endpoint_list && set.clients_mark_retries && !set.limits.allow_hedging);
     assert_eq!(set.tick, Micros(5000));
@@ -43,15 +46,15 @@
     assert_eq!(
         set.classes[1].idempotency,
         Idempotency::NonIdempotent,
-        "an effect that is not known is not repeated"
+        "a class with an unknown effect is not idempotent"
     );
     assert_eq!((set.classes[1].second_step_parts, set.classes[1].partial_weight_share), (3, 0.8));
     assert_eq!(set.tenants[1].quota_per_s, 2.5);
-    let budget = set.rules.retry_budget.expect("a budget");
+    let budget = set.rules.retry_budget.expect("a retry budget");
     assert_eq!((budget.window, budget.min_retries, budget.retry_ratio), (Micros(5_000_000), 20.0, 0.2));
-    assert_eq!((found.class("two"), found.class("three")), (Some(1), None));
-    assert_eq!((found.tenant("south"), found.tenant("two")), (Some(1), None));
-    let transport = &found.transport;
+    assert_eq!((deployment.class("two"), deployment.class("three")), (Some(1), None));
+    assert_eq!((deployment.tenant("south"), deployment.tenant("two")), (Some(1), None));
+    let transport = &deployment.transport;
     assert_eq!((transport.shards, transport.streams_per_conn), (Some(18), Some(32)));
     assert_eq!(transport.conn_idle, Some(Micros(15_000_000)));
     assert_eq!(transport.connect_timeout, Some(Micros(250_000)));
@@ -68,14 +71,15 @@
     {
         options[group].as_object_mut().expect("an object").remove(key);
     }
-    let found = pinetrestle_settings::read(&options).expect("good settings");
-    assert!(!found.settings.clients_mark_retries && found.settings.rules.retry_budget.is_none());
-    assert_eq!((found.settings.wasted_work_cost, found.settings.over_quota_weight_share), (0.0, 1.0));
-    assert_eq!((found.transport.shards, found.transport.streams_per_conn), (None, None));
+    let Deployment { settings, transport, .. } =
+        pinetrestle_settings::read(&options).expect("valid settings");
+    assert!(!settings.clients_mark_retries && settings.rules.retry_budget.is_none());
+    assert_eq!((settings.wasted_work_cost, settings.over_quota_weight_share), (0.0, 1.0));
+    assert_eq!((transport.shards, transport.streams_per_conn), (None, None));
 }
 
 #[test]
-fn an_error_names_the_whole_path_of_its_key() {
+fn an_error_contains_the_full_path_of_its_key() {
     let cases = [
         ("/fleet_size", json!(-1), "fleet_size"),
         ("/classes/1/aim", json!("soon"), "classes[1].aim"),
@@ -89,16 +93,17 @@
         ("/clients/marks_retry", json!("yes"), "clients.marks_retry"),
         ("/fees/waste", json!([]), "fees.waste"),
     ];
-    for (place, value, key) in cases {
+    for (pointer, value, key) in cases {
         let mut options = options();
-        *options.pointer_mut(place).expect("the key is there") = value;
+        *options.pointer_mut(pointer).expect("the key is present") = value;
         let error = pinetrestle_settings::read(&options).expect_err(key);
         assert_eq!(error.key, key, "{error}");
         assert!(error.to_string().contains(&format!("'{key}'")));
     }
 }
 
-/// The same settings as another deployment spells their keys, and its wire description of the aliases.
+/// The settings of [`options`] with the aliases of another deployment, and the wire description that contains
+/// the aliases.
 fn aliased_settings_and_wire_description() -> (Value, Value) {
     let renamed = [
         ("hard_limit", "deadline", "gives_up_after"),
@@ -110,30 +115,34 @@
     ];
     let mut wire =
         json!({"init": {"rename": {}, "words": {"safe": "harmless", "keyed": "by_key", "unsafe": "once"}}});
-    for (_, own, theirs) in renamed {
-        wire["init"]["rename"][own] = theirs.into();
+    for (_, simulator_key, alias) in renamed {
+        wire["init"]["rename"][simulator_key] = alias.into();
     }
-    let mut there = with_setting_aliases(&options(), &renamed.map(|(ours, _, theirs)| (ours, theirs)));
-    there["classes"][0]["effect"] = "by_key".into();
-    (there, wire)
+    let mut aliased =
+        with_setting_aliases(&options(), &renamed.map(|(canonical, _, alias)| (canonical, alias)));
+    aliased["classes"][0]["effect"] = "by_key".into();
+    (aliased, wire)
 }
 
 #[test]
-fn aliased_settings_read_as_the_wire_page_names() {
+fn aliased_settings_read_like_those_with_canonical_keys() {
     let (aliased_options, wire) = aliased_settings_and_wire_description();
-    assert!(pinetrestle_settings::read(&aliased_options).is_err(), "they are not the wire page's");
-    let aliases = KeyAliases::from_wire_description(&wire).expect("good aliases");
-    let (aliased, wire_page) = (aliases.read(&aliased_options), pinetrestle_settings::read(&options()));
-    assert_eq!(format!("{:?}", aliased.expect("read")), format!("{:?}", wire_page.expect("read")));
+    assert!(pinetrestle_settings::read(&aliased_options).is_err(), "the keys are not canonical");
+    let aliases = KeyAliases::from_wire_description(&wire).expect("valid aliases");
+    let (aliased, canonical) = (aliases.read(&aliased_options), pinetrestle_settings::read(&options()));
+    assert_eq!(
+        format!("{:?}", aliased.expect("valid settings")),
+        format!("{:?}", canonical.expect("valid settings"))
+    );
     let no_aliases = KeyAliases::default();
     assert!(no_aliases.read(&options()).is_ok() && no_aliases.read(&aliased_options).is_err());
 }
 
 #[test]
-fn errors_name_the_key_as_the_file_spells_it() {
+fn errors_name_the_key_as_the_settings_spell_it() {
     let (mut aliased_options, wire) = aliased_settings_and_wire_description();
     aliased_options["classes"][1]["gives_up_after"] = "soon".into();
-    let aliases = KeyAliases::from_wire_description(&wire).expect("good aliases");
+    let aliases = KeyAliases::from_wire_description(&wire).expect("valid aliases");
     let error = aliases.read(&aliased_options).expect_err("an error");
     assert_eq!(error.key, "classes[1].gives_up_after");
     for (bad, key) in [
@@ -146,19 +155,19 @@
 }
 
 #[test]
-fn error_messages_name_the_key_and_say_the_problem() {
+fn error_messages_contain_the_key_and_the_problem() {
     let cases = [
         (Problem::Missing, "field 'rules.fall' is missing"),
-        (Problem::WrongType(Expected::Integer), "field 'rules.fall' is not a whole number"),
-        (Problem::WrongType(Expected::Count), "field 'rules.fall' is not a count"),
+        (Problem::WrongType(Expected::Integer), "field 'rules.fall' is not an integer"),
+        (Problem::WrongType(Expected::Count), "field 'rules.fall' is not a non-negative integer"),
         (Problem::WrongType(Expected::Number), "field 'rules.fall' is not a number"),
-        (Problem::WrongType(Expected::Text), "field 'rules.fall' is not text"),
-        (Problem::WrongType(Expected::Boolean), "field 'rules.fall' is not true or false"),
-        (Problem::WrongType(Expected::List), "field 'rules.fall' is not a list"),
+        (Problem::WrongType(Expected::Text), "field 'rules.fall' is not a string"),
+        (Problem::WrongType(Expected::Boolean), "field 'rules.fall' is not a boolean"),
+        (Problem::WrongType(Expected::List), "field 'rules.fall' is not an array"),
         (Problem::WrongType(Expected::Object), "field 'rules.fall' is not an object"),
         (Problem::OutOfRange, "field 'rules.fall' is out of range"),
         (Problem::NoNumberForClass(2), "field 'rules.fall' has no number for class 2"),
-        (Problem::NotAString, "field 'rules.fall' is no name"),
+        (Problem::NotAString, "field 'rules.fall' is not a string"),
         (Problem::from("must be more than 0"), "field 'rules.fall' must be more than 0"),
     ];
     for (problem, message) in cases {
@@ -168,7 +177,7 @@
 }
 
 #[test]
-fn each_error_says_its_problem() {
+fn each_invalid_value_is_reported_as_the_right_problem() {
     let cases = [
         ("/fleet_size", json!(-1), Problem::WrongType(Expected::Count)),
         ("/fleet_size", json!(1_u64 << 32), Problem::OutOfRange),
@@ -178,15 +187,15 @@
         ("/permissions/cancel", json!(1), Problem::WrongType(Expected::Boolean)),
         ("/classes", json!({}), Problem::WrongType(Expected::List)),
     ];
-    for (place, value, problem) in cases {
+    for (pointer, value, problem) in cases {
         let mut options = options();
-        *options.pointer_mut(place).expect("the key is there") = value;
-        let error = pinetrestle_settings::read(&options).expect_err(place);
+        *options.pointer_mut(pointer).expect("the key is present") = value;
+        let error = pinetrestle_settings::read(&options).expect_err(pointer);
         assert_eq!(error.problem, problem, "{error}");
     }
-    let not_a_name = json!({"init": {"rename": {"deadline": 3}}});
+    let not_a_string = json!({"init": {"rename": {"deadline": 3}}});
     assert_eq!(
-        KeyAliases::from_wire_description(&not_a_name).expect_err("an error").problem,
+        KeyAliases::from_wire_description(&not_a_string).expect_err("an error").problem,
         Problem::NotAString
     );
     let not_an_object = json!({"init": {"words": []}});
@@ -195,9 +204,9 @@
 }
 
 #[test]
-fn an_error_takes_its_callers_text_and_keeps_the_message() {
-    let fixed = [("name", true), ("listen", false)];
-    let (key, _) = fixed.iter().find(|(_, same)| !same).expect("a changed key");
+fn an_error_of_a_callers_check_keeps_its_message() {
+    let unchanged = [("name", true), ("listen", false)];
+    let (key, _) = unchanged.iter().find(|(_, same)| !same).expect("a changed key");
     let error: FieldError = FieldError::new(key, "can't change while the program runs");
     assert_eq!(error.to_string(), "field 'listen' can't change while the program runs");
     let sockets = 10;
@@ -208,12 +217,12 @@
 }
 
 #[test]
-fn field_readers_serve_other_files_and_empty_aliases_read_as_plain_settings() {
+fn field_readers_read_any_json_and_empty_aliases_report_a_missing_key() {
     let file = json!({"limits": {"sockets": 64}, "name": 3});
     let sockets: Parsed<Option<u64>> = optional(field(&file, "limits").expect("limits"), "sockets", count);
     assert_eq!(sockets, Ok(Some(64)));
-    assert_eq!(text(&file, "name").expect_err("not text").to_string(), "field 'name' is not text");
-    let aliases = KeyAliases::from_wire_description(&json!({"init": {}})).expect("good aliases");
+    assert_eq!(text(&file, "name").expect_err("not a string").to_string(), "field 'name' is not a string");
+    let aliases = KeyAliases::from_wire_description(&json!({"init": {}})).expect("valid aliases");
     let read: Parsed<Deployment> = aliases.read(&json!({}));
     assert_eq!(read.expect_err("no settings").key, "family_info");
     assert_eq!(KeyAliases::default().read(&json!({})).expect_err("no settings").key, "family_info");
