--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -192,7 +192,7 @@
     ) {
         let discovery = DiscoveryTask {
             live_config: self.live_config.clone(),
-            moved: address_changed,
+            address_changed,
             watches,
             counters: self.counters.clone(),
             to_event_loop: self.to_event_loop.clone(),
