--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -63,7 +63,7 @@
         connection.report_close(peer, reason);
     }
 
-    /// Reads one request and writes its response.
+    /// Reads one request, handles it and writes its response.
     ///
     /// # Errors
     /// The reason to close the connection. If a request was read, its response has been written by then,
@@ -119,10 +119,11 @@
             services.recorder.record(|| Record::for_query(EventKind::ClientDisconnected, query));
             return Err(CloseReason::ClientDisconnected);
         }
-        let token = context.allocate_token();
+        let query_number = context.allocate_query_number();
         let (reply_sender, mut reply) = oneshot::channel();
         // Fails only if the event loop has ended, which ends the program. `reply` then fails too.
-        let _ = services.to_event_loop.send(Message::Query { token, request, reply: reply_sender }).await;
+        let _ =
+            services.to_event_loop.send(Message::Query { query_number, request, reply: reply_sender }).await;
         loop {
             tokio::select! {
                 biased;
@@ -131,7 +132,7 @@
             }
         }
         services.recorder.record(|| Record::for_query(EventKind::ClientDisconnected, query));
-        let _ = services.to_event_loop.send(Message::ClientDisconnected { token }).await;
+        let _ = services.to_event_loop.send(Message::ClientDisconnected { query_number }).await;
         Err(CloseReason::ClientDisconnected)
     }
 
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -64,8 +64,8 @@
     admission: Admission,
     /// The read buffer of all connections, so that an idle connection holds no buffer of its own.
     read_buffer: RefCell<Vec<u8>>,
-    /// The token of the next query. Tokens are unique across all client connections.
-    next_token: Cell<u64>,
+    /// The number of the next query. Query numbers are unique across all client connections.
+    next_query_number: Cell<u64>,
     /// The time by which pending requests have to be answered; `None` until a shutdown begins.
     shutdown_deadline: Cell<Option<Instant>>,
 }
@@ -78,7 +78,7 @@
             services,
             admission,
             read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
-            next_token: Cell::new(0),
+            next_query_number: Cell::new(0),
             shutdown_deadline: Cell::new(None),
         }
     }
@@ -93,10 +93,10 @@
         self.admission.connection_closed().await;
     }
 
-    /// Allocates the token of a query.
-    fn allocate_token(&self) -> u64 {
-        let token = self.next_token.get();
-        self.next_token.set(token + 1);
-        token
+    /// Allocates the number of a query, by which this query is named in messages to the event loop.
+    fn allocate_query_number(&self) -> u64 {
+        let query_number = self.next_query_number.get();
+        self.next_query_number.set(query_number + 1);
+        query_number
     }
 }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -38,35 +38,37 @@
 
 /// An admitted query without a final answer.
 struct PendingQuery {
-    /// Number by which the client's connection refers to the query.
-    token: u64,
+    /// Number of the query, as in [`Message::Query`].
+    query_number: u64,
     /// Key of the query in the flight recorder.
     key: QueryKey,
     /// Receives the answer.
     reply: ReplySender,
 }
 
-/// The pending queries, indexed by the host's ids and by the tokens that client connections use.
+/// The pending queries. The host refers to a query by its id, the query's client connection by its query
+/// number; a query can be looked up by either.
 #[derive(Default)]
 pub(crate) struct PendingQueries {
     by_id: HashMap<Id, PendingQuery>,
-    ids_by_token: HashMap<u64, Id>,
+    ids_by_query_number: HashMap<u64, Id>,
 }
 
 impl PendingQueries {
     fn insert(&mut self, id: Id, query: PendingQuery) {
-        self.ids_by_token.insert(query.token, id);
+        self.ids_by_query_number.insert(query.query_number, id);
         self.by_id.insert(id, query);
     }
 
     fn remove(&mut self, id: Id) -> Option<PendingQuery> {
         let query = self.by_id.remove(&id)?;
-        self.ids_by_token.remove(&query.token);
+        self.ids_by_query_number.remove(&query.query_number);
         Some(query)
     }
 
-    fn id_of(&self, token: u64) -> Option<Id> {
-        self.ids_by_token.get(&token).copied()
+    /// Returns the host's id of a query, or `None` if the query is not pending.
+    fn id_of(&self, query_number: u64) -> Option<Id> {
+        self.ids_by_query_number.get(&query_number).copied()
     }
 }
 
@@ -169,8 +171,10 @@
     fn dispatch(&mut self, message: Message) {
         let now = self.now();
         match message {
-            Message::Query { token, request, reply } => self.on_query(now, token, *request, reply),
-            Message::ClientDisconnected { token } => self.on_client_disconnected(token),
+            Message::Query { query_number, request, reply } => {
+                self.on_query(now, query_number, *request, reply)
+            }
+            Message::ClientDisconnected { query_number } => self.on_client_disconnected(query_number),
             Message::AttemptAnswered(answer) => {
                 self.pools.attempt_answered(answer.attempt_id);
                 self.host.attempt_answered(now, answer);
@@ -191,7 +195,7 @@
         }
     }
 
-    fn on_query(&mut self, now: Micros, token: u64, query: QueryRequest, reply: ReplySender) {
+    fn on_query(&mut self, now: Micros, query_number: u64, query: QueryRequest, reply: ReplySender) {
         let key = query_key(&query.wire_id);
         let parts = query.parts.len();
         match self.host.admit(now, query) {
@@ -199,7 +203,7 @@
                 self.recorder
                     .record(|| Record::for_query(EventKind::QueryAccepted, key).with_value(parts as u64));
                 self.invariants.query_admitted(key);
-                self.pending.insert(id, PendingQuery { token, key, reply });
+                self.pending.insert(id, PendingQuery { query_number, key, reply });
             }
             Err(error) => {
                 self.recorder.record(|| Record::for_query(EventKind::QueryNotAccepted, key));
@@ -209,8 +213,8 @@
         }
     }
 
-    fn on_client_disconnected(&mut self, token: u64) {
-        let Some(id) = self.pending.id_of(token) else { return };
+    fn on_client_disconnected(&mut self, query_number: u64) {
+        let Some(id) = self.pending.id_of(query_number) else { return };
         if let Some(query) = self.pending.remove(id) {
             self.invariants.query_finished(query.key);
         }
@@ -263,7 +267,8 @@
             }
             Command::Abandon(attempt_id) => self.pools.cancel(attempt_id),
             Command::Reply(id, reply) => self.reply(id, reply),
-            // The channel has room for one request. If it is full, that request covers this one.
+            // If the channel is full, the discovery task has not received the previous request yet. One watch
+            // is enough for both requests.
             Command::WatchEndpoints => drop(self.watch_requests.try_send(())),
             Command::ReportOrphanedAttempts(attempts) => {
                 let record = Record::for_query(EventKind::InvariantViolated, 0).with_value(attempts as u64);
@@ -278,7 +283,7 @@
 
     fn reply(&mut self, id: Id, reply: Reply) {
         let Some(query) = self.pending.remove(id) else { return };
-        // Codes of the answers in the flight recorder.
+        // The flight recorder's codes for the kinds of replies.
         let reply_code = match &reply {
             Reply::Served { .. } => 0,
             Reply::Rejected { .. } => 1,
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -12,8 +12,9 @@
 pub(crate) enum Message {
     /// A client has sent a query.
     Query {
-        /// Number of the query, unique among the queries of all client connections.
-        token: u64,
+        /// Number by which the client connection refers to the query. It is unique among the queries of all
+        /// client connections.
+        query_number: u64,
         /// The query.
         request: Box<QueryRequest>,
         /// Receives the final answer, or the reason for which the query was not admitted.
@@ -22,7 +23,7 @@
     /// The client of a query has disconnected.
     ClientDisconnected {
         /// Number of the query, as in [`Message::Query`].
-        token: u64,
+        query_number: u64,
     },
     /// An index server has answered an attempt.
     AttemptAnswered(AttemptAnswer),
