--- a/crates/node/src/clients/admission.rs
+++ b/crates/node/src/clients/admission.rs
@@ -61,11 +61,11 @@
 impl EvictionQueue {
     /// Evicts the connection that has waited longest. Returns `false` if the queue is empty.
     fn evict_oldest(&self) -> bool {
-        let any = self.waiting.get() > 0;
-        if any {
+        let is_empty = self.waiting.get() == 0;
+        if !is_empty {
             self.eviction.notify_one();
         }
-        any
+        !is_empty
     }
 
     /// Waits in the queue until the calling connection is evicted.
--- a/crates/node/src/clients/receive_times.rs
+++ b/crates/node/src/clients/receive_times.rs
@@ -1,10 +1,11 @@
 //! The times at which the bytes of a client connection were received, as far as they can be known.
 //!
-//! The deadline of a client's request runs from the time at which the last byte of the request was received.
-//! A pipelined request may then wait behind others, in the process's buffer or in the kernel's. Therefore
-//! each read is stored with the time at which its bytes may have been received and with the number of bytes
-//! read from the connection so far. The earliest possible time is used where the exact time is not known:
-//! where too many reads are stored, and where reading was suspended because the buffer was full.
+//! The deadline of a client's request runs at the latest from the time at which the last byte of the request
+//! was received. A pipelined request may wait behind earlier requests after that time, in the receive buffer
+//! of the connection or in the kernel. Therefore each read is stored with the time at which its bytes may
+//! have been received and with the number of bytes read from the connection so far. The earliest possible
+//! time is used where the exact time is not known: where too many reads are stored, and where reading was
+//! suspended because the receive buffer was full.
 
 use std::collections::VecDeque;
 use tokio::time::Instant;
--- a/crates/node/src/clients/request_reader.rs
+++ b/crates/node/src/clients/request_reader.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// The wait of a connection for its next request, from which the deadlines of the wait follow.
+/// A connection's wait for its next request, with the times that determine the deadlines of this wait.
 #[derive(Clone, Copy)]
 struct RequestWait {
     /// The time at which the wait began: after the accept, or after the previous response.
@@ -72,6 +72,9 @@
 impl Connection {
     /// Reads until a request is complete. Returns the time at which its first byte was received.
     ///
+    /// If bytes of a pipelined request were buffered already, returns instead the time at which reading of
+    /// this request began, which is just after the previous response was written.
+    ///
     /// # Errors
     /// The reason to close the connection. An error response has been written to the client if the request
     /// was partial or malformed and the connection still works.
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Reads more bytes of a partial request. If there are none by the deadline, or by the deadline of a
+    /// Reads more bytes of a partial request. If no bytes are received by `deadline`, or by the deadline of a
     /// shutdown, responds with an error and returns the reason to close the connection.
     async fn read_more(&mut self, deadline: Instant) -> Result<(), CloseReason> {
         let context = self.context.clone();
@@ -143,8 +146,8 @@
             read = self.socket.read() => return read,
             reason = wait.wait_for_idle_close(&context, &mut phases, transport) => reason,
         };
-        // The kernel may have received a request that the runtime has not reported as readable yet. It is
-        // served.
+        // The kernel may have received a request although the runtime has not reported the socket as readable
+        // yet. Such a request is still served.
         match before_deadline(Instant::now(), self.socket.read()).await {
             Some(read) => read,
             None => Err(reason),
--- a/crates/node/src/clients/routes.rs
+++ b/crates/node/src/clients/routes.rs
@@ -62,8 +62,8 @@
 }
 
 impl ClientContext {
-    /// Determines by method and path how a request is handled. `received_at` is the time at which the whole
-    /// request had been received; the deadline of a query runs from then.
+    /// Determines by method and path how a request is handled. `received_at` is the time from which the
+    /// deadline of a query runs.
     pub(super) fn route(&self, request: &Request<'_>, received_at: Instant) -> RequestAction {
         let config = self.services.live_config.get();
         let paths = &config.names.wire.paths;
@@ -131,8 +131,8 @@
     })
 }
 
-/// Returns the index of the class of a query. The first segment of the path is the name of the class. A
-/// header field may state the class too, and then has to state the same one.
+/// Returns the index of the class of a query. The first segment of the path is the name of the class. The
+/// class may also be given in a header field; both then have to name the same class.
 fn parse_class(config: &Config, request: &Request<'_>, path: &str) -> Result<usize, RejectedRequest> {
     let in_path = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     let name = request.field(&config.names.wire.header_names.class)?.unwrap_or(in_path);
--- a/crates/node/src/clients/socket.rs
+++ b/crates/node/src/clients/socket.rs
@@ -51,10 +51,12 @@
         }
     }
 
-    /// Returns the time by which the current request had been received completely, but no later than
-    /// `began_at`.
+    /// Returns the time from which the deadline of the current request runs: the time by which the request
+    /// had been received completely, or `began_at` if that is earlier. `began_at` is the result of
+    /// [`Connection::read_request`](super::connection::Connection::read_request).
     ///
-    /// For a pipelined request, which had to wait for the previous response, this is earlier than `began_at`.
+    /// A pipelined request may have been received completely before `began_at`, while the previous response
+    /// was still pending.
     pub(super) fn request_received_at(&mut self, began_at: Instant) -> Instant {
         let request_end = self.bytes_in - self.requests.buffered_after_request() as u64;
         self.receive_times.received_by(request_end).map_or(began_at, |received_at| received_at.min(began_at))
@@ -94,7 +96,8 @@
         Ok(count)
     }
 
-    /// Waits until the client sends more bytes or disconnects. Returns `false` if it has disconnected.
+    /// Waits until the client sends more bytes or disconnects. Returns `false` if the client has
+    /// disconnected.
     pub(super) async fn wait_for_input(&mut self) -> bool {
         if self.requests.wants_read() {
             return self.read().await.is_ok();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! The front node: a load balancer that answers queries of clients by sending the parts of each query to
 //! index servers. The decisions are made by the decision core, the crate `pinetrestle`. This crate connects
-//! the core to the network.
+//! the decision core to the network.
 //!
 //! The decision core calls an index server a *replica*. A *call* is one message to an index server; it
 //! carries one part or several.
@@ -15,12 +15,13 @@
 //!   messages of the other tasks to the host and executes the commands that the host returns.
 //! - `clients` accepts and serves client connections.
 //! - `upstream` manages the connections to index servers.
-//! - `discovery` watches the endpoint list, from which the addresses of the index servers are known.
-//! - `serve` starts these tasks and performs a graceful shutdown. `shutdown` defines its phases.
-//! - `reload` puts new configuration files ([`config`]) in force.
+//! - `discovery` watches the endpoint list, which contains the addresses of the index servers.
+//! - `serve` starts these tasks and performs a graceful shutdown. `shutdown` defines the phases of the
+//!   shutdown.
+//! - `reload` applies changed configuration files ([`config`]) while the front node serves.
 //! - `program` adds the command line, environment, signal handlers and exit status of the program.
-//! - [`counters`], [`log`], [`flight_recorder`], `invariants` and [`close_reason`] report to operators what
-//!   happened.
+//! - [`counters`], [`log`], [`flight_recorder`], `invariants` and [`close_reason`] tell operators what the
+//!   front node does and which faults it has detected.
 
 #![warn(missing_docs)]
 
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Puts each valid configuration file in force. After an invalid one the current configuration stays in
-/// force.
+/// Applies each valid configuration file. An invalid file is rejected as a whole, and the current
+/// configuration stays in force.
 pub(crate) struct Reloader {
     /// The configuration in force.
     pub(crate) live_config: Rc<LiveConfig>,
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -43,8 +43,8 @@
     pub write_records: Rc<Notify>,
 }
 
-/// Serves until `stop` completes, then shuts down gracefully: still accepts new connections for a while,
-/// answers the admitted queries, and returns.
+/// Serves until `stop` completes, then shuts down gracefully: goes on accepting connections for the handover
+/// period, answers the admitted queries by the shutdown deadline, and returns.
 ///
 /// Must be called within a [`LocalSet`](tokio::task::LocalSet) on a runtime with all drivers enabled.
 ///
@@ -56,13 +56,14 @@
     counters: Rc<Counters>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), NodeError> {
-    let (_closed, reloads) = mpsc::channel(1);
+    // Nothing is sent: this front node has no reloads.
+    let (_reload_sender, reloads) = mpsc::channel(1);
     let control = ControlChannels { reloads, write_records: Rc::default() };
     serve_with_control(config, control, log, counters, stop).await
 }
 
-/// Like [`serve`], but also reloads the configuration and writes out flight records as requested through
-/// `control`.
+/// Serves like [`serve`]. Also reloads the configuration, and writes out the ring buffer of the flight
+/// recorder, as requested through `control`.
 ///
 /// # Errors
 /// The same errors as [`serve`].
@@ -99,8 +100,8 @@
     pause_detector: Rc<PauseDetector>,
     /// Whether the front node can serve queries. Set by the event loop.
     ready: Rc<Cell<bool>>,
-    /// The origin of the host's clock: the time at which it shows 0.
-    start: Instant,
+    /// Instant at which the host's clock was at 0.
+    clock_origin: Instant,
 }
 
 /// A front node whose tasks have been started.
@@ -122,9 +123,9 @@
         counters: Rc<Counters>,
         listener: TcpListener,
     ) -> RunningNode {
-        let start = Instant::now();
+        let clock_origin = Instant::now();
         let (to_event_loop, inbox) = mpsc::channel(MESSAGE_CAPACITY);
-        let (watch_requests, requested_watches) = mpsc::channel(1);
+        let (watch_requests, watch_request_receiver) = mpsc::channel(1);
         let (phase, phases) = watch::channel(ShutdownPhase::Serving);
         let discovery_address_changed = Rc::new(Notify::new());
 
@@ -141,9 +142,9 @@
             log,
             to_event_loop,
             recorder,
-            start,
+            clock_origin,
         };
-        shared.start_discovery(watches, requested_watches, discovery_address_changed.clone());
+        shared.start_discovery(watches, watch_request_receiver, discovery_address_changed.clone());
         let event_loop = shared.start_event_loop(host, inbox, watch_requests);
         spawn_local(shared.pause_detector.clone().run(shared.recorder.clone()));
         let clients = Rc::new(shared.new_client_context());
@@ -187,7 +188,7 @@
     fn start_discovery(
         &self,
         watches: WatchSupervisor<SocketAddr>,
-        requested_watches: mpsc::Receiver<()>,
+        watch_requests: mpsc::Receiver<()>,
         address_changed: Rc<Notify>,
     ) {
         let discovery = DiscoveryTask {
@@ -198,7 +199,7 @@
             to_event_loop: self.to_event_loop.clone(),
             log: self.log.clone(),
         };
-        spawn_local(discovery.run(requested_watches));
+        spawn_local(discovery.run(watch_requests));
     }
 
     fn start_event_loop(
@@ -210,7 +211,7 @@
         let event_loop = EventLoop {
             host,
             pools: self.new_pools(),
-            clock_origin: self.start,
+            clock_origin: self.clock_origin,
             inbox,
             watch_requests,
             pending: PendingQueries::default(),
@@ -231,7 +232,12 @@
             recorder: self.recorder.clone(),
             invariants: self.invariants.clone(),
         };
-        ConnectionPools::new(self.live_config.clone(), self.to_event_loop.clone(), instruments, self.start)
+        ConnectionPools::new(
+            self.live_config.clone(),
+            self.to_event_loop.clone(),
+            instruments,
+            self.clock_origin,
+        )
     }
 
     fn new_client_context(&self) -> ClientContext {
@@ -276,7 +282,7 @@
     ring_writer
 }
 
-/// Creates a host with the initial endpoint list of the configuration, which may be stale.
+/// Creates a host that starts with the endpoint list of the configuration file. That list may be stale.
 fn new_host(config: &Config, counters: Rc<Counters>) -> Host {
     let deployment = Rc::new(config.deployment.clone());
     let host = Host::new(deployment, counters, config.seed, Micros(0));
@@ -285,7 +291,7 @@
     host
 }
 
-/// Creates the state of the discovery watches.
+/// Creates the supervisor of the watches on the discovery service. No watch is open yet.
 fn new_watches(config: &Config) -> WatchSupervisor<SocketAddr> {
     let pushed = !config.deployment.settings.poll_endpoint_list;
     WatchSupervisor::new(pushed, config.discovery, config.initial_list.version)
