--- a/crates/faultshim/tests/common/mod.rs
+++ b/crates/faultshim/tests/common/mod.rs
@@ -131,7 +131,7 @@
     let mut client = Client::connect(address);
     let mut statuses = Vec::with_capacity(query_count);
     for _ in 0..query_count {
-        let text = query(class, shards, 2000).1;
+        let text = query(class, shards, 2000).text;
         let answer = if client.try_write(text.as_bytes()) { client.try_read() } else { None };
         statuses.push(answer.as_ref().map_or(0, |answer| answer.status));
         if answer.is_none() {
--- a/crates/faultshim/tests/machine.rs
+++ b/crates/faultshim/tests/machine.rs
@@ -57,7 +57,7 @@
     let plan = "seed=2,accept4=ECONNABORTED/2,accept4=EINTR/9,accept4=EPROTO/9,accept4=ENFILE/40";
     let deployment = FaultyDeployment::start(plan);
     let start = Instant::now();
-    let request = || query("any", &[0, 1, 2], 2000).1;
+    let request = || query("any", &[0, 1, 2], 2000).text;
     let statuses: Vec<u16> = (0..100).map(|_| status(deployment.front_node.address, &request())).collect();
     let elapsed = start.elapsed();
     assert!(deployment.faults.count() > 50, "{} faults", deployment.faults.count());
--- a/crates/faultshim/tests/soak.rs
+++ b/crates/faultshim/tests/soak.rs
@@ -18,7 +18,7 @@
 use common::{ms, node_program, wall_ms, Faults};
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, log_field, query, Answer, Client, Discovery, DiscoveryBehavior,
-    FrontNode, Server, ServerBehavior, WatchFault,
+    FrontNode, Query, Server, ServerBehavior, WatchFault,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -156,7 +156,7 @@
 
     /// Builds a query and records it as sent now.
     fn new_query(&self, class: &str) -> (String, String) {
-        let (id, text) = query(class, &[0, 1, 2], EXPIRES_MS);
+        let Query { id, text } = query(class, &[0, 1, 2], EXPIRES_MS);
         if class == "all" {
             NOT_REPEATABLE.lock().expect("no panic").insert(id.clone());
         }
--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -23,7 +23,7 @@
     let mut flood: Vec<Client> = (0..max_clients * 3).map(|_| deployment.client()).collect();
     let mut client = deployment.client();
     for _ in 0..3 {
-        assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).1).status, 200);
+        assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).text).status, 200);
     }
     assert!(deployment.program.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
     eventually("the longest idle connections were evicted", || {
@@ -42,7 +42,7 @@
         config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
     let program = FrontNode::start_with_shell_setup("ulimit -n 72", NODE, &config);
     let _flood: Vec<Client> = (0..100).map(|_| Client::connect(program.address)).collect();
-    let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).1);
+    let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).text);
     assert_eq!(answer.status, 200, "{answer:?}");
     let stats = program.stats();
     assert_eq!(
@@ -58,7 +58,7 @@
     });
     let mut slow_client = deployment.client();
     slow_client.write(b"POST /all HTTP/1.1\r\nContent-Le");
-    assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
     assert_eq!(slow_client.read().status, 408);
     assert!(slow_client.is_closed());
     eventually("the close is logged", || {
@@ -79,7 +79,7 @@
     eventually("all bodies are read", || {
         deployment.program.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
     });
-    assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).text).status, 200);
     let peak = deployment.program.peak_memory_kb();
     assert!(peak < 64 * 1024, "peak memory of {peak} kB for 18 MB of bodies");
 }
@@ -95,7 +95,7 @@
     eventually("the close is logged", || {
         deployment.program.close_reasons("client").contains(&"write_stalled".to_owned())
     });
-    assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
 }
 
 #[test]
@@ -111,7 +111,7 @@
     for _ in 0..2500 {
         Client::connect(program.address).send("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
     }
-    let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).1);
+    let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).text);
     assert_eq!(answer.status, 200);
     let stats = Client::connect(program.address).send("GET /stats HTTP/1.1\r\n\r\n").json();
     assert_eq!(stats["connections"]["requests"].as_u64(), Some(2502));
--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -56,7 +56,7 @@
 /// parts 150 ms later. An unwanted further attempt would have been sent in that time.
 fn assert_ended_after_parts(deployment: &SmallDeployment, parts_sent: usize) {
     eventually("no query is in flight", || {
-        let stats = deployment.program.stats();
+        let stats = deployment.front_node.stats();
         let classes = stats["queries"].as_object().expect("classes").values();
         classes.map(|class| class["held"].as_u64().expect("a count")).sum::<u64>() == 0
     });
@@ -68,11 +68,11 @@
 fn disconnect_before_the_first_attempt_prevents_it() {
     for kind in ALL_DISCONNECTS {
         let deployment = start_with(&ServerBehavior::Serving, |_| {});
-        deployment.program.pause();
+        deployment.front_node.pause();
         let mut client = deployment.client();
-        client.write(query("all", &[0, 1], 2000).1.as_bytes());
+        client.write(query("all", &[0, 1], 2000).text.as_bytes());
         let half_closed = disconnect(client, kind);
-        deployment.program.resume();
+        deployment.front_node.resume();
         assert_ended_after_parts(&deployment, 0);
         drop(half_closed);
     }
@@ -83,12 +83,12 @@
     for kind in ALL_DISCONNECTS {
         let deployment = start_with(&ServerBehavior::FailingAfter(ms(200)), |_| {});
         let mut client = deployment.client();
-        client.write(query("all", &[0], 2000).1.as_bytes());
+        client.write(query("all", &[0], 2000).text.as_bytes());
         eventually("the part is in flight", || deployment.received() == 1);
-        deployment.program.pause();
+        deployment.front_node.pause();
         let half_closed = disconnect(client, kind);
         thread::sleep(ms(300)); // the error arrives before the front node resumes
-        deployment.program.resume();
+        deployment.front_node.resume();
         assert_ended_after_parts(&deployment, 1);
         drop(half_closed);
     }
@@ -99,12 +99,12 @@
     for kind in ALL_DISCONNECTS {
         let deployment = start_with(&ServerBehavior::ServingAfter(ms(200)), |_| {});
         let mut client = deployment.client();
-        client.write(query("steps", &[0, 1, 2], 2000).1.as_bytes());
+        client.write(query("steps", &[0, 1, 2], 2000).text.as_bytes());
         eventually("the parts are in flight", || deployment.received() == 3);
-        deployment.program.pause();
+        deployment.front_node.pause();
         let half_closed = disconnect(client, kind);
         thread::sleep(ms(300)); // all answers arrive before the front node resumes
-        deployment.program.resume();
+        deployment.front_node.resume();
         assert_ended_after_parts(&deployment, 3);
         drop(half_closed);
     }
@@ -115,13 +115,13 @@
     for kind in ALL_DISCONNECTS {
         let deployment = start_with(&ServerBehavior::Silent, |_| {});
         let mut client = deployment.client();
-        client.write(query("all", &[0], 2900).1.as_bytes());
+        client.write(query("all", &[0], 2900).text.as_bytes());
         eventually("the part is in flight", || deployment.received() == 1);
-        deployment.program.pause();
+        deployment.front_node.pause();
         let half_closed = disconnect(client, kind);
         // Far longer than half the latency objective: a hedged request is due when the front node resumes.
         thread::sleep(ms(700));
-        deployment.program.resume();
+        deployment.front_node.resume();
         assert_ended_after_parts(&deployment, 1);
         drop(half_closed);
     }
@@ -141,7 +141,7 @@
             config["settings"]["classes"][1]["aim"] = 2_900_000.into();
             let program = FrontNode::start_ready(NODE, &config);
             let mut client = Client::connect(program.address);
-            client.write(query("all", &[0, 1, 2], 2900).1.as_bytes());
+            client.write(query("all", &[0, 1, 2], 2900).text.as_bytes());
             eventually("the query is admitted", || program.stats()["attempts"]["out"] == 3);
             let half_closed = disconnect(client, kind);
             eventually("the client is counted as gone", || program.stats()["queries"]["all"]["gone"] == 1);
@@ -166,19 +166,19 @@
         let change = |config: &mut Value| config["settings"]["classes"][1]["aim"] = 2_900_000.into();
         let deployment = start_with(&ServerBehavior::Silent, change);
         let mut client = deployment.client();
-        client.write(query("all", &[0], 2900).1.as_bytes());
+        client.write(query("all", &[0], 2900).text.as_bytes());
         eventually("the part is in flight", || deployment.received() == 1);
         // More bytes than the front node reads while a response is outstanding, and fewer than the kernel
         // buffers: the disconnect arrives behind bytes that the front node has not read.
-        let request = query("all", &[1], 2900).1.into_bytes();
+        let request = query("all", &[1], 2900).text.into_bytes();
         let pipelined = request.repeat(140 * 1024 / request.len());
         client.write(&pipelined);
-        let bytes_read = || deployment.program.stats()["connections"]["client_bytes_in"].as_u64();
+        let bytes_read = || deployment.front_node.stats()["connections"]["client_bytes_in"].as_u64();
         eventually("reading is suspended", || bytes_read() > Some(80 * 1024));
         thread::sleep(ms(50));
         let half_closed = disconnect(client, kind);
         eventually("the client is counted as gone", || {
-            deployment.program.stats()["queries"]["all"]["gone"] == 1
+            deployment.front_node.stats()["queries"]["all"]["gone"] == 1
         });
         assert_ended_after_parts(&deployment, 1);
         drop(half_closed);
--- a/crates/node/tests/common/deployment.rs
+++ b/crates/node/tests/common/deployment.rs
@@ -25,9 +25,9 @@
     /// Starts index servers with this behavior, and a front node with the configuration as edited by
     /// `change`. Returns once the front node is ready.
     pub fn with_config(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> Deployment {
-        let pinetrestle_standins::SmallDeployment { servers, discovery, program } =
+        let pinetrestle_standins::SmallDeployment { servers, discovery, front_node } =
             pinetrestle_standins::SmallDeployment::start(NODE, behavior, change);
-        Deployment { servers, discovery, program }
+        Deployment { servers, discovery, program: front_node }
     }
 
     /// Starts index servers with this behavior and a front node with the default configuration.
@@ -56,7 +56,7 @@
 
     /// Asserts that a query of the class `all` for one shard of each cell gets status 200.
     pub fn assert_serves(&self) {
-        let answer = self.client().send(&query("all", &[0, 1, 2], 2000).1);
+        let answer = self.client().send(&query("all", &[0, 1, 2], 2000).text);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
 
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -26,7 +26,7 @@
 /// Returns a client whose connection is idle after one answered query.
 fn idle_client(deployment: &SmallDeployment) -> Client {
     let mut client = deployment.client();
-    assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(client.send(&query("all", &[0], 2000).text).status, 200);
     client
 }
 
@@ -43,7 +43,7 @@
         }
     };
     assert_eq!(read, Ok(0), "the connection is closed, not reset");
-    client.write(query("all", &[1], 2000).1.as_bytes());
+    client.write(query("all", &[1], 2000).text.as_bytes());
     thread::sleep(ms(30));
     let error = client.stream.get_ref().take_error().expect("the socket error can be read");
     assert!(error.is_none(), "bytes that arrive after the close are discarded without a reset: {error:?}");
@@ -53,42 +53,42 @@
 fn sigterm_serves_connections_and_requests_queued_in_the_kernel() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 200, "stop_within_ms": 3000}));
     let mut incomplete = deployment.client();
-    let text = query("all", &[0, 1], 2000).1;
+    let text = query("all", &[0, 1], 2000).text;
     incomplete.write(&text.as_bytes()[..60]);
     eventually("the first bytes of its request are read", || {
-        deployment.program.stats()["connections"]["client_bytes_in"].as_u64() > Some(60)
+        deployment.front_node.stats()["connections"]["client_bytes_in"].as_u64() > Some(60)
     });
-    deployment.program.pause();
+    deployment.front_node.pause();
     // While the front node is paused only the kernel accepts: one connection without a byte, one with a
     // complete request.
     let mut without_bytes = deployment.client();
     let mut complete = deployment.client();
-    complete.write(query("all", &[0, 1], 2000).1.as_bytes());
-    deployment.program.terminate();
+    complete.write(query("all", &[0, 1], 2000).text.as_bytes());
+    deployment.front_node.terminate();
     thread::sleep(ms(400)); // the hand-over period is over when the front node resumes
-    deployment.program.resume();
+    deployment.front_node.resume();
     assert_eq!(complete.read().status, 200);
     // The remaining bytes of the request arrive while the front node closes its connections.
     incomplete.write(&text.as_bytes()[60..]);
     assert_eq!(incomplete.read().status, 200);
-    assert_eq!(without_bytes.send(&query("all", &[2], 2000).1).status, 200);
+    assert_eq!(without_bytes.send(&query("all", &[2], 2000).text).status, 200);
     for client in [&mut incomplete, &mut without_bytes, &mut complete] {
         assert!(client.is_closed());
     }
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn an_incomplete_request_is_answered_before_shutdown_ends() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 600}));
     let mut incomplete = deployment.client();
-    incomplete.write(&query("all", &[0, 1], 2000).1.as_bytes()[..60]);
+    incomplete.write(&query("all", &[0, 1], 2000).text.as_bytes()[..60]);
     let started = Instant::now();
-    deployment.program.terminate();
+    deployment.front_node.terminate();
     let answer = incomplete.read();
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("stopping")));
     assert!(incomplete.is_closed() && started.elapsed() < ms(1500), "{:?}", started.elapsed());
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
     assert_eq!(deployment.received(), 0);
 }
 
@@ -100,21 +100,21 @@
         let mut deployment = start_with_transport(json!({"hand_over_ms": hand_over, "stop_within_ms": 3000}));
         let mut client = idle_client(&deployment);
         if hand_over < paused {
-            deployment.program.terminate();
+            deployment.front_node.terminate();
             eventually("the shutdown has begun", || {
-                deployment.program.count_log_lines(&["msg=\"stopping\""]) == 1
+                deployment.front_node.count_log_lines(&["msg=\"stopping\""]) == 1
             });
         }
-        deployment.program.pause();
-        client.write(query("all", &[0, 1], 2000).1.as_bytes());
+        deployment.front_node.pause();
+        client.write(query("all", &[0, 1], 2000).text.as_bytes());
         if hand_over > paused {
-            deployment.program.terminate();
+            deployment.front_node.terminate();
         }
         thread::sleep(ms(paused));
-        deployment.program.resume();
+        deployment.front_node.resume();
         assert_eq!(client.read().status, 200);
         assert!(client.is_closed());
-        assert_eq!(deployment.program.wait_for_exit(), Some(0));
+        assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
     }
 }
 
@@ -122,20 +122,22 @@
 fn pipelined_requests_are_all_answered_at_shutdown() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 3000}));
     let mut client = idle_client(&deployment);
-    deployment.program.terminate();
-    eventually("the shutdown has begun", || deployment.program.count_log_lines(&["msg=\"stopping\""]) == 1);
-    deployment.program.pause();
-    let text: String = (0..5).map(|_| query("all", &[0], 2000).1).collect();
+    deployment.front_node.terminate();
+    eventually("the shutdown has begun", || {
+        deployment.front_node.count_log_lines(&["msg=\"stopping\""]) == 1
+    });
+    deployment.front_node.pause();
+    let text: String = (0..5).map(|_| query("all", &[0], 2000).text).collect();
     client.write(text.as_bytes());
     thread::sleep(ms(300));
-    deployment.program.resume();
+    deployment.front_node.resume();
     let answers: Vec<_> = (0..5).map(|_| client.read()).collect();
     assert!(answers.iter().all(|answer| answer.status == 200), "{answers:?}");
     let announces_close: Vec<bool> =
         answers.iter().map(|answer| answer.headers.contains_key("connection")).collect();
     assert_eq!(announces_close, [false, false, false, false, true]);
     assert!(client.is_closed());
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -151,7 +153,7 @@
         // The front node closes the connection after some request; later writes fail or are discarded.
         (0..requests / 10).all(|_| std::io::Write::write_all(&mut writer, batch.as_bytes()).is_ok())
     });
-    let bytes_written = || deployment.program.stats()["connections"]["client_bytes_out"].as_u64();
+    let bytes_written = || deployment.front_node.stats()["connections"]["client_bytes_out"].as_u64();
     let mut before = bytes_written();
     eventually("the front node's writes are blocked", || {
         thread::sleep(ms(100));
@@ -160,10 +162,10 @@
         before = now;
         blocked
     });
-    deployment.program.terminate();
+    deployment.front_node.terminate();
     eventually("the shutdown has begun", || {
-        deployment.program.count_log_lines(&["reason=shutdown"])
-            + deployment.program.count_log_lines(&["msg=\"stopping\""])
+        deployment.front_node.count_log_lines(&["reason=shutdown"])
+            + deployment.front_node.count_log_lines(&["msg=\"stopping\""])
             >= 1
     });
     thread::sleep(ms(200));
@@ -187,17 +189,17 @@
     assert!(client.is_closed());
     drop(client);
     sender.join().expect("the sender did not panic");
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_connection_closed_as_idle_answers_earlier_requests_and_discards_later_ones() {
     let deployment = start_with_transport(json!({"client_idle_ms": 300}));
     let mut client = idle_client(&deployment);
-    deployment.program.pause();
-    client.write(query("all", &[0], 2000).1.as_bytes());
+    deployment.front_node.pause();
+    client.write(query("all", &[0], 2000).text.as_bytes());
     thread::sleep(ms(400)); // the request arrives and the idle timeout passes before the front node resumes
-    deployment.program.resume();
+    deployment.front_node.resume();
     assert_eq!(client.read().status, 200);
     let before = deployment.received();
     assert_closed_without_reset(&mut client);
@@ -207,7 +209,7 @@
         "a request that arrives after the half-close is never forwarded"
     );
     eventually("the close is logged", || {
-        deployment.program.close_reasons("client").contains(&"idle".to_owned())
+        deployment.front_node.close_reasons("client").contains(&"idle".to_owned())
     });
 }
 
@@ -226,7 +228,7 @@
     let others: Vec<Client> = (0..3).map(|_| idle_client(&deployment)).collect();
     let newcomer = thread::spawn({
         let address = deployment.address();
-        move || Client::connect(address).send(&query("all", &[0], 2000).1).status
+        move || Client::connect(address).send(&query("all", &[0], 2000).text).status
     });
     let before = deployment.received();
     assert_closed_without_reset(&mut oldest);
@@ -245,11 +247,11 @@
     let deployment = start_with_transport(json!({"client_connections": 32}));
     let mut oldest = idle_client(&deployment);
     let mut others: Vec<Client> = (0..28).map(|_| idle_client(&deployment)).collect();
-    let open = || deployment.program.stats()["connections"]["clients_open"].as_u64().expect("a count");
+    let open = || deployment.front_node.stats()["connections"]["clients_open"].as_u64().expect("a count");
     // Each request for the counters uses a connection of its own, which is counted: 29 idle connections and
     // this one.
     eventually("29 connections are idle and three places are free", || open() == 30);
-    assert!(!deployment.program.close_reasons("client").iter().any(|reason| reason == "made_room"));
+    assert!(!deployment.front_node.close_reasons("client").iter().any(|reason| reason == "made_room"));
     others.push(idle_client(&deployment));
     assert_closed_without_reset(&mut oldest);
     eventually("a place is free again", || open() <= 31);
@@ -260,10 +262,10 @@
     let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 2000}));
     let mut client = idle_client(&deployment);
     let before = deployment.received();
-    deployment.program.terminate();
+    deployment.front_node.terminate();
     assert_closed_without_reset(&mut client);
     drop(client);
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
     assert_eq!(deployment.received(), before);
 }
 
@@ -272,12 +274,12 @@
     let deployment = start_with_transport(json!({}));
     for _ in 0..20 {
         let mut client = deployment.client();
-        let text = query("all", &[0], 2000).1.replace("Host: app.svc", "Connection: close");
-        deployment.program.pause();
+        let text = query("all", &[0], 2000).text.replace("Host: app.svc", "Connection: close");
+        deployment.front_node.pause();
         client.write(text.as_bytes());
-        client.write(query("all", &[1], 2000).1.as_bytes());
+        client.write(query("all", &[1], 2000).text.as_bytes());
         client.write(&vec![b'x'; 100_000]);
-        deployment.program.resume();
+        deployment.front_node.resume();
         assert_eq!(client.read().status, 200);
         let mut rest = Vec::new();
         let read = client.stream.read_to_end(&mut rest).map_err(|error| error.kind());
@@ -293,16 +295,16 @@
             config["transport"] = json!({"hand_over_ms": 100, "stop_within_ms": 3000});
         });
         let mut client = deployment.client();
-        client.write(query("all", &[0, 1], 2000).1.as_bytes());
+        client.write(query("all", &[0, 1], 2000).text.as_bytes());
         eventually("the parts are in flight", || deployment.received() >= 2);
-        deployment.program.pause();
-        order.iter().for_each(|signal| deployment.program.signal(signal));
-        deployment.program.resume();
+        deployment.front_node.pause();
+        order.iter().for_each(|signal| deployment.front_node.signal(signal));
+        deployment.front_node.resume();
         thread::sleep(ms(30));
-        deployment.program.terminate();
+        deployment.front_node.terminate();
         assert_eq!(client.read().status, 200, "{order:?}");
-        assert_eq!(deployment.program.wait_for_exit(), Some(0), "{order:?}");
-        assert_eq!(deployment.program.count_log_lines(&["msg=\"stopping\""]), 1, "{order:?}");
+        assert_eq!(deployment.front_node.wait_for_exit(), Some(0), "{order:?}");
+        assert_eq!(deployment.front_node.count_log_lines(&["msg=\"stopping\""]), 1, "{order:?}");
     }
     // The watch on discovery stays open and is not opened again and again.
     let deployment = start_with_transport(json!({}));
@@ -312,8 +314,8 @@
 #[test]
 fn connections_are_refused_after_the_exit() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 50, "stop_within_ms": 500}));
-    deployment.program.terminate();
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    deployment.front_node.terminate();
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
     let refused = std::net::TcpStream::connect(deployment.address()).map_err(|error| error.kind());
     assert_eq!(refused.err(), Some(ErrorKind::ConnectionRefused));
 }
--- a/crates/node/tests/deployment_isolation.rs
+++ b/crates/node/tests/deployment_isolation.rs
@@ -57,16 +57,16 @@
 
 /// Returns a query of the second deployment's tenant.
 fn second_query(class: &str, shards: &[u32]) -> String {
-    query(class, shards, 2000).1.replace("X-Customer: north", "X-Customer: pier")
+    query(class, shards, 2000).text.replace("X-Customer: north", "X-Customer: pier")
 }
 
 #[test]
 fn classes_tenants_and_limits_are_not_shared_between_deployments() {
     let (first, second) = (Deployment::new("", |_| {}), Deployment::new("", use_second_settings));
-    assert_eq!(first.send(&query("all", &[0], 2000).1).0, 200);
+    assert_eq!(first.send(&query("all", &[0], 2000).text).0, 200);
     assert_eq!(second.send(&second_query("manifest", &[0])).0, 200);
     assert_eq!(first.send(&second_query("manifest", &[0])).1["reason"], "unknown_class");
-    assert_eq!(second.send(&query("all", &[0], 2000).1).1["reason"], "unknown_class");
+    assert_eq!(second.send(&query("all", &[0], 2000).text).1["reason"], "unknown_class");
     assert_eq!(first.send(&second_query("all", &[0])).1["reason"], "unknown_tenant");
     // Limits, effects and deadlines: the index servers of both stop answering, and each front node reacts by
     // its own settings.
@@ -82,7 +82,7 @@
         "a class with the effect `fragile` is not retried"
     );
     assert!(started.elapsed().as_millis() < 900, "the deadline of the class is 0.7 s");
-    assert_eq!(first.send(&query("all", &[1], 1500).1).0, 503);
+    assert_eq!(first.send(&query("all", &[1], 1500).text).0, 503);
     let output = second.program.get("/stats").1 + &second.program.log_lines().join("\n");
     for word in ["\"any\"", "\"all\"", "\"steps\"", "node=n0"] {
         assert!(!output.contains(word), "{word} appears in the second deployment");
@@ -98,7 +98,7 @@
 fn another_deployments_configuration_is_rejected_and_logged() {
     let (first, second) = (Deployment::new("", |_| {}), Deployment::new("", use_second_settings));
     let assert_unchanged = |deployment: &Deployment| {
-        assert_eq!(deployment.send(&query("all", &[0], 2000).1).0, 200);
+        assert_eq!(deployment.send(&query("all", &[0], 2000).text).0, 200);
         assert_eq!(deployment.send(&second_query("manifest", &[0])).1["reason"], "unknown_class");
     };
     // The unchanged file of the second deployment is rejected for its name, which a reload cannot change.
@@ -174,11 +174,11 @@
         let head = head.rsplit_once("Content-Length").expect("a length").0;
         format!("{}Content-Length: {}\r\n\r\n{body}", replace_all(head), body.len())
     };
-    let (status, body) = deployment.send(&with_renamed_fields(&query("all", &[0, 1], 2000).1));
+    let (status, body) = deployment.send(&with_renamed_fields(&query("all", &[0, 1], 2000).text));
     assert_eq!((status, body["complete"].as_bool()), (200, Some(true)));
     assert_eq!(body["found"].as_array().map(Vec::len), Some(2));
     assert_eq!(
-        deployment.send(&query("all", &[0], 2000).1).0,
+        deployment.send(&query("all", &[0], 2000).text).0,
         400,
         "the default names are unknown to this front node"
     );
--- a/crates/node/tests/discovery_faults.rs
+++ b/crates/node/tests/discovery_faults.rs
@@ -22,7 +22,7 @@
         deployment.discovery.close_watches();
         eventually("the watch is opened again", || deployment.discovery.watch_count() > before + 1);
         assert_eq!(
-            deployment.client().send(&query("all", &[0], 2000).1).status,
+            deployment.client().send(&query("all", &[0], 2000).text).status,
             200,
             "the endpoint list is unchanged"
         );
@@ -66,5 +66,5 @@
     assert_eq!(program.get("/health/ready").0, 503);
     discovery.set_behavior(DiscoveryBehavior::Serving);
     eventually("ready", || program.get("/health/ready").0 == 200);
-    assert_eq!(Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).1).status, 200);
+    assert_eq!(Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).text).status, 200);
 }
--- a/crates/node/tests/discovery_watches.rs
+++ b/crates/node/tests/discovery_watches.rs
@@ -56,7 +56,7 @@
         let parts_before = self.servers[0].received().len();
         let mut client = Client::connect(self.program.address);
         for _ in 0..20 {
-            assert_eq!(client.send(&query("all", &[0, 3], 2000).1).status, 200);
+            assert_eq!(client.send(&query("all", &[0, 3], 2000).text).status, 200);
         }
         assert_eq!(self.servers[0].received().len(), parts_before, "a draining server gets no part");
         latency
--- a/crates/node/tests/flight_recorder.rs
+++ b/crates/node/tests/flight_recorder.rs
@@ -3,8 +3,8 @@
 
 use pinetrestle_recorder::{log_lines, query_key, timeline, EventKind, Record};
 use pinetrestle_standins::{
-    config_json, endpoint_list, entries, entry, eventually, query, Client, Discovery, FrontNode, Server,
-    ServerBehavior,
+    config_json, endpoint_list, entries, entry, eventually, query, Client, Discovery, FrontNode, Query,
+    Server, ServerBehavior,
 };
 use std::io::Write;
 use std::process::Command;
@@ -56,7 +56,7 @@
 #[test]
 fn sigusr1_writes_every_event_of_each_query_to_the_log() {
     let fixture = Fixture::new("{ records: 4096 }");
-    let (id, text) = query("all", &[0, 1], 2000);
+    let Query { id, text } = query("all", &[0, 1], 2000);
     assert_eq!(Client::connect(fixture.program.address).send(&text).status, 200);
     fixture.program.signal("-USR1");
     eventually("the records are written", || fixture.written("signal"));
@@ -89,7 +89,7 @@
 fn a_client_disconnect_and_the_cancelled_attempts_are_recorded() {
     let fixture = Fixture::new("{ records: 4096 }");
     fixture.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
-    let (id, text) = query("all", &[0, 1, 2], 2000);
+    let Query { id, text } = query("all", &[0, 1, 2], 2000);
     let mut client = Client::connect(fixture.program.address);
     client.write(text.as_bytes());
     eventually("the parts are sent", || fixture.servers.iter().all(|server| server.received().len() == 1));
@@ -115,7 +115,7 @@
     let mut client = Client::connect(fixture.program.address);
     let ids: Vec<String> = (0..20)
         .map(|_| {
-            let (id, text) = query("all", &[0], 2000);
+            let Query { id, text } = query("all", &[0], 2000);
             assert_eq!(client.send(&text).status, 200);
             // The queries make more records than the ring holds; each is written to the log before it is
             // overwritten.
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -46,7 +46,7 @@
     let mut client = Client::connect(address);
     let mut statuses = Vec::new();
     while started.elapsed() < TRAFFIC_TIME {
-        statuses.push(client.send(&query("all", &[0, 1, 2], 2000).1).status);
+        statuses.push(client.send(&query("all", &[0, 1, 2], 2000).text).status);
         thread::sleep(PAUSE);
     }
     statuses
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -4,7 +4,7 @@
 mod deployment;
 
 use deployment::Deployment;
-use pinetrestle_standins::{entries, eventually, query, Client, ServerBehavior};
+use pinetrestle_standins::{entries, eventually, query, Client, Query, ServerBehavior};
 use serde_json::json;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -38,9 +38,9 @@
 fn a_connection_may_stay_idle_after_its_first_request() {
     let deployment = Deployment::new(&ServerBehavior::Serving);
     let mut client = deployment.client();
-    assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(client.send(&query("all", &[0], 2000).text).status, 200);
     thread::sleep(Duration::from_millis(2300));
-    assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(client.send(&query("all", &[0], 2000).text).status, 200);
 }
 
 #[test]
@@ -70,7 +70,7 @@
 fn a_smuggled_request_is_never_processed() {
     // Each of these heads leaves open where the body ends, so a second request could hide behind it.
     let deployment = Deployment::new(&ServerBehavior::Serving);
-    let smuggled = query("all", &[0], 2000).1;
+    let smuggled = query("all", &[0], 2000).text;
     for fields in [
         format!("Content-Length: {}\r\nTransfer-Encoding: chunked", 5 + smuggled.len()),
         format!("Transfer-Encoding: chunked\r\nContent-Length: {}", 5 + smuggled.len()),
@@ -90,7 +90,7 @@
 #[test]
 fn ambiguous_requests_are_rejected_and_the_sixteenth_closes_the_connection() {
     let deployment = Deployment::new(&ServerBehavior::Serving);
-    let good = query("all", &[0], 2000).1;
+    let good = query("all", &[0], 2000).text;
     let cases = [
         ("X-Qos: all", "X-Qos: all\r\nX-Qos: any"),
         ("X-Trace-Id: ", "X-Trace-Id: 0\r\nX-Trace-Id: "),
@@ -120,19 +120,19 @@
         config["transport"] = json!({"client_connections": 40})
     });
     let mut active = deployment.client();
-    assert_eq!(active.send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(active.send(&query("all", &[0], 2000).text).status, 200);
     let mut silent = Vec::new();
     for round in 0..200 {
         silent.push(deployment.client());
         if round % 10 == 0 {
-            assert_eq!(active.send(&query("all", &[1], 2000).1).status, 200, "round {round}");
+            assert_eq!(active.send(&query("all", &[1], 2000).text).status, 200, "round {round}");
             deployment.assert_serves();
         }
     }
     let stats = deployment.program.stats();
     assert!(stats["connections"]["clients_open"].as_u64() <= Some(40), "{stats}");
     assert_eq!(
-        active.send(&query("all", &[2], 2000).1).status,
+        active.send(&query("all", &[2], 2000).text).status,
         200,
         "the active connection was never evicted"
     );
@@ -144,7 +144,7 @@
         config["transport"] = json!({"client_connections": 20})
     });
     for _ in 0..50 {
-        let texts: Vec<String> = (0..60).map(|_| query("all", &[0], 2000).1).collect();
+        let texts: Vec<String> = (0..60).map(|_| query("all", &[0], 2000).text).collect();
         // Three times as many clients connect as there are places, and send their requests 5 ms later.
         let started = Instant::now();
         let mut clients: Vec<Client> = texts.iter().map(|_| deployment.client()).collect();
@@ -172,7 +172,7 @@
     assert_eq!(client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
     deployment.program.pause();
     let started = Instant::now();
-    client.write(query("all", &[0], 1500).1.as_bytes());
+    client.write(query("all", &[0], 1500).text.as_bytes());
     thread::sleep(Duration::from_millis(700));
     deployment.program.resume();
     assert_eq!(client.read().status, 503);
@@ -182,7 +182,7 @@
 #[test]
 fn an_id_reused_just_after_its_answer_is_rejected() {
     let deployment = Deployment::new(&ServerBehavior::Serving);
-    let text = query("all", &[0, 1], 2000).1;
+    let text = query("all", &[0, 1], 2000).text;
     assert_eq!(deployment.client().send(&text).status, 200);
     let before = deployment.parts_received();
     assert_eq!(deployment.client().send(&text).status, 409);
@@ -196,7 +196,7 @@
     let mut client = deployment.client();
     eventually("the stalled connection is closed", || {
         let started = Instant::now();
-        let answer = client.send(&query("all", &[0], 3000).1);
+        let answer = client.send(&query("all", &[0], 3000).text);
         assert_eq!(answer.status, 200, "another replica answers: {answer:?}");
         assert!(started.elapsed() < Duration::from_millis(1500), "{:?}", started.elapsed());
         deployment.program.close_reasons("index_server").contains(&"stalled_within_frame".to_owned())
@@ -213,7 +213,7 @@
         deployment.servers.iter().for_each(|server| server.set_behavior(behavior.clone()));
         let mut client = deployment.client();
         for _ in 0..30 {
-            let (id, text) = query("all", &[0, 1, 2], 2000);
+            let Query { id, text } = query("all", &[0, 1, 2], 2000);
             let answer = client.send(&text);
             assert_eq!(answer.status, 200, "{behavior:?}: {answer:?}");
             for item in answer.json()["items"].as_array().expect("items") {
@@ -244,7 +244,7 @@
     let mut client = deployment.client();
     let mut served_in_a_row = 0;
     eventually("ten queries in a row are served", || {
-        let served = client.send(&query("all", &[0, 1, 2], 400).1).status == 200;
+        let served = client.send(&query("all", &[0, 1, 2], 400).text).status == 200;
         served_in_a_row = if served { served_in_a_row + 1 } else { 0 };
         served_in_a_row == 10
     });
--- a/crates/node/tests/multiple_nodes.rs
+++ b/crates/node/tests/multiple_nodes.rs
@@ -21,7 +21,7 @@
 /// Sends one query after another until `stop` is set; each must be answered or rejected.
 fn generate_load(address: SocketAddr, pause: Duration, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
-        let status = Client::connect(address).send(&query("all", &[0], 2000).1).status;
+        let status = Client::connect(address).send(&query("all", &[0], 2000).text).status;
         assert!(status == 200 || status == 503, "{status}");
         thread::sleep(pause);
     }
@@ -173,7 +173,7 @@
             let mut client = Client::connect(program.address);
             // The client sends one query and then stays idle. In this flood it may be evicted before the
             // front node reads the query.
-            client.try_write(query("all", &[round % 3], 2000).1.as_bytes());
+            client.try_write(query("all", &[round % 3], 2000).text.as_bytes());
             if client.try_read().is_some() {
                 served.push(client);
             }
@@ -187,7 +187,7 @@
     eventually("discovery is reached", || discovery.watch_count() >= 1);
     assert!(discovery_started.elapsed() < Duration::from_secs(6), "{:?}", discovery_started.elapsed());
     eventually("the list of discovery is used", || {
-        let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).1);
+        let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).text);
         answer.status == 200 && servers[3..].iter().all(|server| !server.received().is_empty())
     });
     assert_eq!(program.count_log_lines(&["accepting failed"]), 0, "the system limit was never reached");
@@ -253,7 +253,7 @@
 /// Sends many queries at once and disconnects without reading the answers.
 fn flood_with_abandoned_queries(address: SocketAddr, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
-        let text = query("all", &[0], 2000).1;
+        let text = query("all", &[0], 2000).text;
         let _ = Client::connect(address).try_write(text.repeat(40).as_bytes());
         thread::sleep(ms(20));
     }
@@ -282,7 +282,7 @@
     let end = Instant::now() + ms(3000);
     while Instant::now() < end {
         counts.queries += 1;
-        let text = query(class, &[0, 1, 2], 2000).1;
+        let text = query(class, &[0, 1, 2], 2000).text;
         for _ in 0..2 {
             let answer = client.try_write(text.as_bytes()).then(|| client.try_read()).flatten();
             match answer {
@@ -320,8 +320,9 @@
     let address = program.address;
     let stop = AtomicBool::new(false);
     let is_served = |client: &mut Client, class: &str, tenant: &str| {
-        let text =
-            query(class, &[0, 1, 2], 1000).1.replace("X-Customer: north", &format!("X-Customer: {tenant}"));
+        let text = query(class, &[0, 1, 2], 1000)
+            .text
+            .replace("X-Customer: north", &format!("X-Customer: {tenant}"));
         client.send(&text).status == 200
     };
     let periods = thread::scope(|scope| {
--- a/crates/node/tests/query_serving.rs
+++ b/crates/node/tests/query_serving.rs
@@ -4,7 +4,7 @@
 mod deployment;
 
 use deployment::Deployment;
-use pinetrestle_standins::{eventually, query, Server, ServerBehavior};
+use pinetrestle_standins::{eventually, query, Query, Server, ServerBehavior};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 fn a_query_is_served_with_the_values_of_the_index_servers() {
     let deployment = Deployment::new(&ServerBehavior::Serving);
     let mut client = deployment.client();
-    let (id, text) = query("all", &[0, 1, 5], 2000);
+    let Query { id, text } = query("all", &[0, 1, 5], 2000);
     let answer = client.send(&text);
     assert_eq!(answer.status, 200, "{answer:?}");
     let body = answer.json();
@@ -37,7 +37,7 @@
         }
     }
     // The connection is kept alive and also accepts a chunked body that arrives byte by byte.
-    let (_, text) = query("all", &[2], 2000);
+    let text = query("all", &[2], 2000).text;
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
     let head = head.rsplit_once("\r\n").expect("the last field is the length").0;
     let (start, end) = body.split_at(20);
@@ -63,7 +63,7 @@
     deployment.servers[3].set_behavior(ServerBehavior::Silent);
     let mut client = deployment.client();
     for _ in 0..5 {
-        let answer = client.send(&query("any", &[0, 1, 2], 2000).1);
+        let answer = client.send(&query("any", &[0, 1, 2], 2000).text);
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_eq!(answer.json()["entire"], true);
         assert!(answer.json()["items"].as_array().expect("items").len() >= 2);
@@ -74,7 +74,7 @@
 #[test]
 fn the_second_step_queries_the_best_shards_and_provides_the_answer() {
     let deployment = Deployment::new(&ServerBehavior::Serving);
-    let (id, text) = query("steps", &[0, 1, 2, 3], 2000);
+    let Query { id, text } = query("steps", &[0, 1, 2, 3], 2000);
     let answer = deployment.client().send(&text);
     assert_eq!(answer.status, 200, "{answer:?}");
     let mut values: Vec<String> = answer.json()["items"]
@@ -102,7 +102,7 @@
 fn errors_and_rejections_of_index_servers_are_distinguished() {
     for (behavior, outcome) in [(ServerBehavior::Failing, "error"), (ServerBehavior::Rejecting, "full")] {
         let deployment = Deployment::new(&behavior);
-        let answer = deployment.client().send(&query("all", &[0], 1500).1);
+        let answer = deployment.client().send(&query("all", &[0], 1500).text);
         assert_eq!(answer.status, 503, "{answer:?}");
         let wait: f64 = answer.headers["retry-after"].parse().expect("seconds");
         assert!(wait > 0.0 && wait <= 0.5, "{wait}");
@@ -116,7 +116,7 @@
 fn parts_of_a_disconnected_client_are_cancelled() {
     let deployment = Deployment::new(&ServerBehavior::Silent);
     let mut client = deployment.client();
-    let (id, text) = query("all", &[0, 1], 2500);
+    let Query { id, text } = query("all", &[0, 1], 2500);
     client.write(text.as_bytes());
     eventually("the parts are in flight", || deployment.parts_received() >= 2);
     drop(client);
@@ -138,9 +138,9 @@
     deployment.servers[3].set_behavior(ServerBehavior::Silent);
     let mut waiting = deployment.client();
     let started = Instant::now();
-    waiting.write(query("all", &[0], 900).1.as_bytes());
+    waiting.write(query("all", &[0], 900).text.as_bytes());
     eventually("the part is in flight", || deployment.parts_received() >= 1);
-    assert_eq!(deployment.client().send(&query("all", &[1, 2], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[1, 2], 2000).text).status, 200);
     let answer = waiting.read();
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(started.elapsed() < Duration::from_millis(1400), "{:?}", started.elapsed());
@@ -150,7 +150,7 @@
 #[test]
 fn a_query_deadline_counts_from_the_first_byte_of_the_request() {
     let deployment = Deployment::new(&ServerBehavior::Silent);
-    let (_, text) = query("all", &[0], 1500);
+    let text = query("all", &[0], 1500).text;
     let mut client = deployment.client();
     let started = Instant::now();
     client.write(&text.as_bytes()[..20]);
@@ -164,7 +164,7 @@
 #[test]
 fn malformed_requests_get_a_4xx_and_no_part_is_sent() {
     let deployment = Deployment::new(&ServerBehavior::Serving);
-    let good = query("all", &[0], 2000).1;
+    let good = query("all", &[0], 2000).text;
     let replaced = |from: &str, to: &str| {
         assert!(good.contains(from), "{from}");
         good.replace(from, to)
@@ -214,7 +214,7 @@
 #[test]
 fn two_open_queries_cannot_share_an_id() {
     let deployment = Deployment::new(&ServerBehavior::Silent);
-    let (_, text) = query("all", &[0], 2500);
+    let text = query("all", &[0], 2500).text;
     let mut first = deployment.client();
     first.write(text.as_bytes());
     eventually("the part is in flight", || deployment.parts_received() >= 1);
@@ -229,11 +229,11 @@
     });
     let mut client = deployment.client();
     let shards: Vec<u32> = (0..9).collect();
-    let answer = client.send(&query("all", &shards, 1500).1);
+    let answer = client.send(&query("all", &shards, 1500).text);
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("over_held")));
     assert_eq!(answer.headers["retry-after"], "0.500");
     assert_eq!(
-        client.send(&query("all", &shards[..7], 1500).1).status,
+        client.send(&query("all", &shards[..7], 1500).text).status,
         200,
         "a query within the limit is served"
     );
@@ -250,22 +250,22 @@
     let mut client = deployment.client();
     let first = query("all", &[0], 2000);
     let second = query("all", &[1], 2000);
-    client.write(format!("{}GET /health/live HTTP/1.1\r\n\r\n{}", first.1, second.1).as_bytes());
-    assert!(client.read().body.contains(&format!("value of {}.0", first.0)));
+    client.write(format!("{}GET /health/live HTTP/1.1\r\n\r\n{}", first.text, second.text).as_bytes());
+    assert!(client.read().body.contains(&format!("value of {}.0", first.id)));
     assert!(client.read().body.contains("live"));
-    assert!(client.read().body.contains(&format!("value of {}.1", second.0)));
+    assert!(client.read().body.contains(&format!("value of {}.1", second.id)));
 }
 
 #[test]
 fn a_late_answer_is_discarded_and_counted() {
     let deployment = Deployment::new(&ServerBehavior::ServingAfter(Duration::from_millis(900)));
     let mut client = deployment.client();
-    assert_eq!(client.send(&query("all", &[0], 400).1).status, 503);
+    assert_eq!(client.send(&query("all", &[0], 400).text).status, 503);
     eventually("the late answer is counted", || {
         deployment.program.stats()["attempts"]["late_answers"].as_u64() >= Some(1)
     });
     deployment.set_all_behaviors(&ServerBehavior::Serving);
-    let (id, text) = query("all", &[0], 2000);
+    let Query { id, text } = query("all", &[0], 2000);
     assert!(
         client.send(&text).body.contains(&format!("value of {id}.0")),
         "the answer has the value of this query, not of the earlier one"
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -40,7 +40,7 @@
 
     fn assert_serves(&self) {
         let answer = pinetrestle_standins::Client::connect(self.program.address)
-            .send(&query("all", &[0, 1, 2], 2000).1);
+            .send(&query("all", &[0, 1, 2], 2000).text);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
 
--- a/crates/node/tests/retry_safety.rs
+++ b/crates/node/tests/retry_safety.rs
@@ -58,7 +58,7 @@
     /// Sends a query of the class `all` for shard 0 with an idempotency key on a new connection.
     fn send_query(&self) -> Client {
         let mut client = Client::connect(self.program.address);
-        client.write(with_key("0af3", &query("all", &[0], 2900).1).as_bytes());
+        client.write(with_key("0af3", &query("all", &[0], 2900).text).as_bytes());
         client
     }
 }
@@ -160,7 +160,10 @@
         config["settings"]["classes"][2]["effect"] = json!("dedup");
     });
     let mut client = Client::connect(fixture.program.address);
-    assert_eq!(client.send(&with_key("a2b9acad9eb94871", &query("steps", &[0, 3, 6], 2000).1)).status, 200);
+    assert_eq!(
+        client.send(&with_key("a2b9acad9eb94871", &query("steps", &[0, 3, 6], 2000).text)).status,
+        200
+    );
     let parts: Vec<_> = servers.iter().flat_map(Server::received).collect();
     assert_eq!(parts.len(), 5, "three parts of the first step, two of the second");
     for part in &parts {
@@ -169,8 +172,8 @@
         assert_eq!(options.len() > 2, part.id.ends_with(".phase2"), "{}", part.attributes);
     }
     // A class whose parts may run twice needs no key.
-    assert_eq!(client.send(&query("any", &[0], 2000).1).status, 200);
-    for bad in [query("all", &[0], 2000).1, with_key("a,b", &query("all", &[0], 2000).1)] {
+    assert_eq!(client.send(&query("any", &[0], 2000).text).status, 200);
+    for bad in [query("all", &[0], 2000).text, with_key("a,b", &query("all", &[0], 2000).text)] {
         let answer = client.send(&bad);
         assert_eq!((answer.status, answer.json()["reason"].as_str()), (400, Some("bad_key")));
     }
@@ -196,7 +199,7 @@
     for _ in 0..20 {
         fixture.program.pause();
         servers.iter().for_each(Server::close_connections);
-        client.write(with_key("0af3", &query("all", &[0], 2900).1).as_bytes());
+        client.write(with_key("0af3", &query("all", &[0], 2900).text).as_bytes());
         thread::sleep(ms(5)); // the close and the query arrive before the front node resumes
         fixture.program.resume();
         assert_eq!(client.read().status, 200);
@@ -296,7 +299,7 @@
         config["settings"]["classes"][1]["aim"] = 2_900_000.into();
     });
     let mut client = Client::connect(fixture.program.address);
-    let texts: Vec<String> = (0..4).map(|_| query("all", &[0], EXPIRES_MS).1).collect();
+    let texts: Vec<String> = (0..4).map(|_| query("all", &[0], EXPIRES_MS).text).collect();
     client.write(texts.concat().as_bytes());
     let statuses: Vec<u16> = (0..4).map(|_| client.read().status).collect();
     // The second query waits for the first and the third for both; when its turn comes, no time is left for
@@ -310,7 +313,7 @@
     assert!(stated.len() < 4, "a part was sent with no time left: {stated:?}");
     // A later query on the same connection is not charged for the time that earlier ones waited.
     thread::sleep(ms(100));
-    assert_eq!(client.send(&query("all", &[0], EXPIRES_MS).1).status, 200);
+    assert_eq!(client.send(&query("all", &[0], EXPIRES_MS).text).status, 200);
     let last = server.received().last().map(ReceivedPart::time_left);
     assert!(last >= Some(ms(EXPIRES_MS - 100)), "{last:?}");
 }
@@ -357,7 +360,7 @@
     });
     let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(fixture.program.address)).collect();
     for client in &mut clients {
-        assert_eq!(client.send(&query("all", &[0], 2000).1).status, 200);
+        assert_eq!(client.send(&query("all", &[0], 2000).text).status, 200);
     }
     assert!(servers.iter().all(|server| !server.received().is_empty()), "both servers are used");
     for round in 0..6 {
@@ -366,7 +369,7 @@
         let mut entries = Fixture::entries(&replicas);
         entries[draining]["status"] = json!("draining");
         fixture.discovery.set_entries(entries);
-        clients.iter_mut().for_each(|client| client.write(query("all", &[0], 2900).1.as_bytes()));
+        clients.iter_mut().for_each(|client| client.write(query("all", &[0], 2900).text.as_bytes()));
         thread::sleep(ms(200)); // the notification and the queries arrive before the front node resumes
         let before = servers[draining].received().len();
         fixture.program.resume();
--- a/crates/node/tests/second_step.rs
+++ b/crates/node/tests/second_step.rs
@@ -20,7 +20,7 @@
     let program = FrontNode::start_ready(NODE, &config);
     let mut client = Client::connect(program.address);
     for _ in 0..40 {
-        assert_eq!(client.send(&query("steps", &[0, 1, 2], 2000).1).status, 200);
+        assert_eq!(client.send(&query("steps", &[0, 1, 2], 2000).text).status, 200);
     }
     // When the index servers read the second-step parts of each query, by query id.
     let mut read_at: BTreeMap<String, Vec<Instant>> = BTreeMap::new();
--- a/crates/node/tests/server_stalls.rs
+++ b/crates/node/tests/server_stalls.rs
@@ -50,7 +50,7 @@
             thread::spawn(move || {
                 let mut client = Client::connect(address);
                 while !stop.load(Ordering::Relaxed) {
-                    assert_eq!(client.send(&query("any", &[0, 1, 2], 2000).1).status, 200);
+                    assert_eq!(client.send(&query("any", &[0, 1, 2], 2000).text).status, 200);
                     thread::sleep(pause);
                 }
             })
--- a/crates/node/tests/start_and_stop.rs
+++ b/crates/node/tests/start_and_stop.rs
@@ -78,14 +78,14 @@
     let mut idle = deployment.client();
     assert_eq!(idle.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
     let mut open = deployment.client();
-    open.write(query("all", &[0, 1], 2000).1.as_bytes());
+    open.write(query("all", &[0, 1], 2000).text.as_bytes());
     eventually("the parts are in flight", || deployment.parts_received() >= 2);
     deployment.program.terminate();
     eventually("the front node is no longer ready", || deployment.program.get("/health/ready").0 == 503);
     // Until the load balancer notices, open connections and new ones are still served.
     deployment.set_all_behaviors(&ServerBehavior::Serving);
-    assert_eq!(idle.send(&query("all", &[2], 2000).1).status, 200);
-    assert_eq!(deployment.client().send(&query("all", &[2], 2000).1).status, 200);
+    assert_eq!(idle.send(&query("all", &[2], 2000).text).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[2], 2000).text).status, 200);
     let answer = open.read();
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(idle.is_closed(), "an idle connection is closed");
@@ -101,7 +101,7 @@
         config["transport"] = json!({"stop_within_ms": 900})
     });
     let mut open = deployment.client();
-    open.write(query("all", &[0, 1], 3000).1.as_bytes());
+    open.write(query("all", &[0, 1], 3000).text.as_bytes());
     eventually("the parts are in flight", || deployment.parts_received() >= 2);
     deployment.program.terminate();
     let answer = open.read();
@@ -112,12 +112,12 @@
 #[test]
 fn a_killed_node_restarts_under_its_name_and_address() {
     let mut deployment = Deployment::new(&ServerBehavior::Serving);
-    assert_eq!(deployment.client().send(&query("all", &[0], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
     let address = deployment.program.address;
     deployment.program.kill();
     let known = endpoint_list(1, &entries(&deployment.servers));
     let config = config_json(&address.to_string(), &deployment.discovery.address.to_string(), &known);
     deployment.program = FrontNode::start_ready(NODE, &config);
     assert_eq!(deployment.program.address, address);
-    assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).1).status, 200);
+    assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).text).status, 200);
 }
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -35,11 +35,19 @@
     pub stream: BufReader<TcpStream>,
 }
 
+/// A query as a client sends it.
+pub struct Query {
+    /// The id of the query.
+    pub id: String,
+    /// The text of the HTTP request.
+    pub text: String,
+}
+
 static NEXT_QUERY_ID: AtomicU64 = AtomicU64::new(1);
 
 /// Builds a query with a new id, one part of equal weight per shard, and `expires_ms` milliseconds until its
-/// deadline. Returns the id and the text of the HTTP request.
-pub fn query(class: &str, shards: &[u32], expires_ms: u64) -> (String, String) {
+/// deadline.
+pub fn query(class: &str, shards: &[u32], expires_ms: u64) -> Query {
     let id = format!("{:016x}", NEXT_QUERY_ID.fetch_add(1, Ordering::Relaxed));
     let weight = 1.0 / shards.len() as f64;
     let parts: Vec<Value> = shards.iter().map(|shard| json!({"slice": shard, "mass": weight})).collect();
@@ -49,7 +57,7 @@
          X-Customer: north\r\nX-Expires-In-Ms: {expires_ms}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    (id, text)
+    Query { id, text }
 }
 
 impl Client {
@@ -103,8 +111,8 @@
         self.stream.get_mut().write_all(bytes).is_ok()
     }
 
-    /// Reads one byte and returns true if there is none because the connection has ended. Any read error
-    /// counts as the end, also the timeout after [`WAIT_LIMIT`].
+    /// Returns true if the connection has ended, and false if a byte can be read; that byte is lost. Any read
+    /// error counts as the end of the connection, including the read timeout of [`WAIT_LIMIT`].
     pub fn is_closed(&mut self) -> bool {
         let mut byte = [0];
         matches!(self.stream.read(&mut byte), Ok(0) | Err(_))
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the systems around a front node, and handles of front node processes under test.
+//! Stand-ins for the systems around a front node, and handles to front node processes under test.
 //!
 //! The stand-ins are written from the protocol's documentation alone and have their own parsers, so that an
 //! error in the front node's parsers is detected instead of being repeated here. Every stand-in listens on
@@ -41,7 +41,7 @@
 mod timestamping_server;
 
 pub use addresses::{PendingAddress, ReservedAddress};
-pub use clients::{query, Answer, Client};
+pub use clients::{query, Answer, Client, Query};
 pub use deployment::{config_json, endpoint_list, entries, entries_at, settings, with_setting_aliases};
 pub use discovery::{Discovery, DiscoveryBehavior, WatchFault};
 pub use front_node::{failed_start, failed_start_with_env, log_field, FrontNode, FrontNodeWithUnreadLog};
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Sends one query after another until the load is stopped, to the front nodes that are ready in turn.
+    /// Sends one query after another until the load is stopped, each to the next front node that is ready.
     fn send_queries(&self, nodes: &[SocketAddr], client: usize, pause: Duration) {
         let mut round = client;
         while !self.is_stopped() {
@@ -196,7 +196,7 @@
 /// Returns the request of a query for three shards; it asks the front node to close the connection after the
 /// answer.
 fn closing_query(class: &str) -> String {
-    query(class, &[0, 1, 2], 2_000).1.replacen("\r\n", "\r\nConnection: close\r\n", 1)
+    query(class, &[0, 1, 2], 2_000).text.replacen("\r\n", "\r\nConnection: close\r\n", 1)
 }
 
 impl Load {
@@ -257,9 +257,9 @@
         counts
     }
 
-    /// Returns the highest number of front nodes that were not ready at the same time since `from_us`, in
-    /// wall-clock microseconds since the Unix epoch. All front nodes must be ready at `from_us`; one that was
-    /// never ready isn't counted.
+    /// Returns the largest number of front nodes that were not ready at the same time since `from_us`, a
+    /// wall-clock time in microseconds since the Unix epoch. All front nodes must be ready at `from_us`. A
+    /// front node that was never ready isn't counted.
     pub fn most_unready(&self, from_us: u64) -> usize {
         let shared = self.shared.lock().expect("lock not poisoned");
         let mut unready = BTreeSet::new();
--- a/crates/standins/src/small_deployment.rs
+++ b/crates/standins/src/small_deployment.rs
@@ -11,29 +11,30 @@
     /// The discovery service, which lists all index servers.
     pub discovery: Discovery,
     /// The front node, ready to serve.
-    pub program: FrontNode,
+    pub front_node: FrontNode,
 }
 
 impl SmallDeployment {
     /// Starts a deployment and waits until the front node is ready. `program` is the path of the front node's
-    /// executable; `change` may edit the front node's configuration.
+    /// executable; `edit_config` may edit the front node's
+    /// configuration.
     pub fn start(
         program: &str,
         behavior: &ServerBehavior,
-        change: impl FnOnce(&mut Value),
+        edit_config: impl FnOnce(&mut Value),
     ) -> SmallDeployment {
         let servers: Vec<Server> = (0..6).map(|_| Server::start(behavior.clone())).collect();
         let discovery = Discovery::start(entries(&servers));
         let known = endpoint_list(1, &entries(&servers));
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
-        change(&mut config);
-        let program = FrontNode::start_ready(program, &config);
-        SmallDeployment { servers, discovery, program }
+        edit_config(&mut config);
+        let front_node = FrontNode::start_ready(program, &config);
+        SmallDeployment { servers, discovery, front_node }
     }
 
     /// Returns the address at which the front node listens.
     pub fn address(&self) -> SocketAddr {
-        self.program.address
+        self.front_node.address
     }
 
     /// Connects a client to the front node.
