--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -15,7 +15,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest time that a watch request may wait for earlier ones under [`DiscoveryBehavior::OneAtATime`].
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between the bytes of a list under [`WatchFault::Trickling`].
+/// Pause between two bytes of a list under [`WatchFault::Trickling`].
 const TRICKLE_PAUSE: Duration = Duration::from_millis(100);
 
 const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
@@ -63,10 +63,10 @@
     /// Watch requests received so far.
     watch_count: u64,
     /// Calls of [`Discovery::close_watches`] so far; a watch that was opened at a lower count ends.
-    closes: u64,
+    close_calls: u64,
     /// Calls of [`Discovery::fail_watches`] so far; a watch that was opened at a lower count fails with
     /// `fault`.
-    faults: u64,
+    fail_calls: u64,
     fault: WatchFault,
 }
 
@@ -81,8 +81,8 @@
 struct Watch {
     stream: TcpStream,
     behavior: DiscoveryBehavior,
-    closes: u64,
-    faults: u64,
+    close_calls: u64,
+    fail_calls: u64,
 }
 
 /// The next action of a watch.
@@ -107,8 +107,8 @@
             index: 1,
             entries,
             watch_count: 0,
-            closes: 0,
-            faults: 0,
+            close_calls: 0,
+            fail_calls: 0,
             fault: WatchFault::Silent,
         }));
         let shared = state.clone();
@@ -130,7 +130,7 @@
     /// Makes all established watches fail; new watch requests are still answered by the current behavior.
     pub fn fail_watches(&self, fault: WatchFault) {
         let mut state = self.state();
-        state.faults += 1;
+        state.fail_calls += 1;
         state.fault = fault;
     }
 
@@ -148,7 +148,7 @@
 
     /// Closes the connections of all established watches.
     pub fn close_watches(&self) {
-        self.state().closes += 1;
+        self.state().close_calls += 1;
     }
 
     /// Returns the number of watch requests received so far.
@@ -166,7 +166,12 @@
         assert!(head[0].starts_with("GET /registry/instances?watch=1&after="), "{}", head[0]);
         let mut state = state.lock().expect("lock not poisoned");
         state.watch_count += 1;
-        Some(Watch { stream, behavior: state.behavior, closes: state.closes, faults: state.faults })
+        Some(Watch {
+            stream,
+            behavior: state.behavior,
+            close_calls: state.close_calls,
+            fail_calls: state.fail_calls,
+        })
     }
 
     /// Answers the request until the watch ends. `queue` is held by the request that is being served under
@@ -219,10 +224,10 @@
 
     fn next_step(&self, state: &Mutex<State>, sent_index: &mut u64) -> Step {
         let state = state.lock().expect("lock not poisoned");
-        if state.closes != self.closes {
+        if state.close_calls != self.close_calls {
             return Step::End;
         }
-        if state.faults != self.faults {
+        if state.fail_calls != self.fail_calls {
             return Step::Fail(state.fault);
         }
         if state.index == *sent_index {
--- a/crates/standins/src/front_node.rs
+++ b/crates/standins/src/front_node.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A front node process; it is killed when this is dropped.
+/// A front node process. Dropping the handle kills the process.
 pub struct FrontNode {
     child: Child,
     /// Address at which the front node listens.
@@ -27,7 +27,7 @@
     failed_start_with_env(program, config, &[])
 }
 
-/// Like [`failed_start`], with additional environment variables.
+/// Does the same as [`failed_start`], with additional environment variables for the process.
 pub fn failed_start_with_env(
     program: &str,
     config: &Value,
@@ -65,12 +65,12 @@
         FrontNode::start_with_shell_setup("true", program, config)
     }
 
-    /// Like [`FrontNode::start`], from a shell that runs `command` first, for instance to set limits or
-    /// variables.
-    pub fn start_with_shell_setup(command: &str, program: &str, config: &Value) -> FrontNode {
+    /// Starts a front node as [`FrontNode::start`] does, from a shell that first runs `setup_command`, for
+    /// instance to set resource limits or environment variables.
+    pub fn start_with_shell_setup(setup_command: &str, program: &str, config: &Value) -> FrontNode {
         let config_file = write_config(config);
         let mut child = Command::new("/bin/sh")
-            .args(["-c", &format!("{command}; exec {program}")])
+            .args(["-c", &format!("{setup_command}; exec {program}")])
             .env("RELAY_CONFIG", &config_file)
             .stdout(Stdio::piped())
             .spawn()
@@ -93,10 +93,10 @@
         FrontNode { child, address: address.expect("a listen address"), log_lines, config_file }
     }
 
-    /// Like [`FrontNode::start`], and waits until the front node reports itself ready.
+    /// Starts a front node as [`FrontNode::start`] does, and waits until the front node reports itself ready.
     pub fn start_ready(program: &str, config: &Value) -> FrontNode {
         let front_node = FrontNode::start(program, config);
-        eventually("ready", || front_node.get("/health/ready").0 == 200);
+        eventually("the front node is ready", || front_node.get("/health/ready").0 == 200);
         front_node
     }
 
@@ -218,7 +218,7 @@
 }
 
 /// A front node process whose log is read up to the line with its listen address and never again, so that the
-/// pipe fills up. The process is killed when this is dropped.
+/// pipe fills up. Dropping the handle kills the process.
 pub struct FrontNodeWithUnreadLog {
     child: Child,
     /// Address at which the front node listens.
--- a/crates/standins/src/server_behavior.rs
+++ b/crates/standins/src/server_behavior.rs
@@ -18,7 +18,7 @@
     ServingAfter(Duration),
     /// Reads parts and answers none.
     Silent,
-    /// Answers nothing on its first connections, this many, and serves on later ones.
+    /// Answers nothing on its first connections, as many as this number, and serves on later ones.
     SilentOnFirst(u64),
     /// Answers each part with an error.
     Failing,
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Pause between the bytes of an answer under [`ServerBehavior::Trickling`].
+/// Pause between two bytes of an answer under [`ServerBehavior::Trickling`].
 const TRICKLE_PAUSE: Duration = Duration::from_millis(20);
 
 /// State shared by all connections of an index server.
