--- a/crates/node/src/config/transport.rs
+++ b/crates/node/src/config/transport.rs
@@ -13,7 +13,7 @@
 pub(crate) const MAX_LINGERING_CLIENTS: usize = 8;
 /// File descriptors reserved for other uses than the connections counted by `server_connections` and
 /// `client_connections`: the standard streams, the poller, signals, the listener, files that are read,
-/// discovery (one watch, two that are being opened, some that are ending), spares, and the lingering client
+/// discovery (one watch, two that are being opened, some that are ending), a margin, and the lingering client
 /// connections of [`MAX_LINGERING_CLIENTS`].
 const RESERVED_DESCRIPTORS: usize = 24 + MAX_LINGERING_CLIENTS;
 /// Divisor of the number of available file descriptors. The quotient is the default of `server_connections`.
@@ -33,10 +33,10 @@
 const DEFAULT_CONNECT_MS: u64 = 250;
 /// Default of `server_idle_ms` in milliseconds, if the settings contain no idle timeout of the index servers.
 const DEFAULT_SERVER_IDLE_MS: u64 = 8_000;
-/// Default of `streams`, if the settings contain no number of streams per connection.
-const DEFAULT_STREAMS: u64 = 32;
+/// Default of `streams`, if the settings contain no maximum number of parts per connection.
+const DEFAULT_PARTS_PER_CONNECTION: u64 = 32;
 /// Default of `server_backlog_bytes` in bytes.
-const DEFAULT_WRITE_BACKLOG: u64 = 64 * 1024;
+const DEFAULT_UNWRITTEN_BYTES: u64 = 64 * 1024;
 /// Default of `unheard_parts`.
 const DEFAULT_CANCELS_WITHOUT_REPLY: u64 = 3;
 /// Default of `discovery_answer_ms` in milliseconds.
@@ -100,10 +100,10 @@
     /// Maximum time without traffic on a connection to an index server (`server_idle_ms`).
     pub server_idle_timeout: Duration,
     /// Maximum number of parts in flight on one connection to an index server (`streams`).
-    pub max_streams: usize,
+    pub max_parts_per_connection: usize,
     /// Maximum number of bytes that wait to be written on one connection to an index server
     /// (`server_backlog_bytes`).
-    pub max_write_backlog: usize,
+    pub max_unwritten_bytes: usize,
     /// Number of consecutively cancelled parts, with nothing received in between, after which no more parts
     /// are sent on a connection to an index server (`unheard_parts`).
     pub max_cancels_without_reply: usize,
@@ -177,7 +177,7 @@
         let reader = TransportReader(object);
         let settings = &deployment.transport;
         let connect_ms = settings.connect_timeout.map_or(DEFAULT_CONNECT_MS, whole_millis);
-        let streams = settings.streams_per_conn.map_or(DEFAULT_STREAMS, u64::from);
+        let max_parts = settings.max_parts_per_connection.map_or(DEFAULT_PARTS_PER_CONNECTION, u64::from);
         let limits = reader.connection_limits(socket_limit)?;
         Ok(Transport {
             first_request_timeout: reader.millis("first_ms", DEFAULT_FIRST_REQUEST_MS)?,
@@ -188,8 +188,8 @@
             frame_timeout: reader.millis("frame_ms", connect_ms)?,
             connect_timeout: reader.millis("connect_ms", connect_ms)?,
             server_idle_timeout: reader.millis("server_idle_ms", default_server_idle_ms(deployment))?,
-            max_streams: reader.count("streams", streams)? as usize,
-            max_write_backlog: reader.count("server_backlog_bytes", DEFAULT_WRITE_BACKLOG)? as usize,
+            max_parts_per_connection: reader.count("streams", max_parts)? as usize,
+            max_unwritten_bytes: reader.count("server_backlog_bytes", DEFAULT_UNWRITTEN_BYTES)? as usize,
             max_cancels_without_reply: reader.count("unheard_parts", DEFAULT_CANCELS_WITHOUT_REPLY)? as usize,
             max_server_connections: limits.servers,
             max_client_connections: limits.clients,
@@ -223,7 +223,7 @@
 /// Returns the default of `server_idle_ms`: four fifths of the idle timeout of the index servers, so that the
 /// front node closes an idle connection before the index server does.
 fn default_server_idle_ms(deployment: &Deployment) -> u64 {
-    let server_timeout = deployment.transport.conn_idle;
+    let server_timeout = deployment.transport.server_idle_timeout;
     server_timeout.map_or(DEFAULT_SERVER_IDLE_MS, |idle| whole_millis(idle) * 4 / 5).max(1)
 }
 
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -72,18 +72,18 @@
     ///
     /// The connection must accept calls and have fewer than `max_unwritten_bytes` bytes queued for writing,
     /// and each part id must be [available](ConnectionState::is_id_available). With the new parts, at most
-    /// `max_streams` parts may be in flight; a connection with no parts in flight accepts a call of any
+    /// `max_parts` parts may be in flight; a connection with no parts in flight accepts a call of any
     /// size.
     pub(super) fn has_capacity(
         &self,
         parts: &[OutgoingPart],
-        max_streams: usize,
+        max_parts: usize,
         max_unwritten_bytes: usize,
     ) -> bool {
         let state = self.state.borrow();
-        let has_streams = state.in_flight() == 0 || state.in_flight() + parts.len() <= max_streams;
+        let has_room_for_parts = state.in_flight() == 0 || state.in_flight() + parts.len() <= max_parts;
         !self.closed_to_calls.get()
-            && has_streams
+            && has_room_for_parts
             && state.unwritten_bytes() < max_unwritten_bytes
             && parts.iter().all(|part| state.is_id_available(&part.id))
     }
--- a/crates/node/src/upstream/driver.rs
+++ b/crates/node/src/upstream/driver.rs
@@ -130,7 +130,7 @@
         let next_write = self.connection.state.borrow().next_write_us();
         let write_due = next_write.is_some_and(|at| at <= self.shared.now_micros());
         let interest = if write_due { Interest::READABLE | Interest::WRITABLE } else { Interest::READABLE };
-        let write_at = self.shared.clock_start + Duration::from_micros(next_write.unwrap_or_default());
+        let write_at = self.shared.clock_origin + Duration::from_micros(next_write.unwrap_or_default());
         let frame_deadline = transfer.frame_started_at().map(|started_at| started_at + timeouts.frame);
         let idle_left = timeouts.idle.saturating_sub(transfer.idle_time());
         tokio::select! {
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -53,14 +53,14 @@
     /// Number of evicted connections that have not ended yet. Each still holds a file descriptor, but does
     /// not count towards `max_server_connections`.
     evicting: Cell<usize>,
-    /// Time at which the host's clock started, i.e. its time 0.
-    clock_start: Instant,
+    /// Instant at which the host's clock was at 0.
+    clock_origin: Instant,
 }
 
 impl Shared {
     /// Returns the time of the host's clock in microseconds.
     fn now_micros(&self) -> u64 {
-        self.clock_start.elapsed().as_micros() as u64
+        self.clock_origin.elapsed().as_micros() as u64
     }
 
     async fn send(&self, message: Message) {
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -41,12 +41,13 @@
 }
 
 impl ConnectionPools {
-    /// Creates pools without connections. `clock_start` is the time 0 of the host's clock.
+    /// Creates pools without connections. `clock_origin` is the instant at which the host's clock
+    /// was at 0.
     pub(crate) fn new(
         live_config: Rc<LiveConfig>,
         to_event_loop: mpsc::Sender<Message>,
         instruments: Instruments,
-        clock_start: Instant,
+        clock_origin: Instant,
     ) -> ConnectionPools {
         let config = live_config.get();
         let shared = Shared {
@@ -55,7 +56,7 @@
             instruments,
             read_buffer: RefCell::new(vec![0; READ_SIZE]),
             evicting: Cell::new(0),
-            clock_start,
+            clock_origin,
         };
         ConnectionPools {
             shared: Rc::new(shared),
@@ -121,11 +122,11 @@
     ) -> Option<Rc<Connection>> {
         self.close_outdated(replica, endpoint);
         let config = self.shared.live_config.get();
-        let max_streams = config.transport.max_streams;
-        let max_unwritten_bytes = config.transport.max_write_backlog;
+        let max_parts = config.transport.max_parts_per_connection;
+        let max_unwritten_bytes = config.transport.max_unwritten_bytes;
         let pool = self.by_replica.get(&replica).map_or(&[][..], Vec::as_slice);
         let with_capacity =
-            pool.iter().find(|connection| connection.has_capacity(parts, max_streams, max_unwritten_bytes));
+            pool.iter().find(|connection| connection.has_capacity(parts, max_parts, max_unwritten_bytes));
         if let Some(connection) = with_capacity {
             return Some(connection.clone());
         }
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,5 +1,5 @@
 //! The settings of a deployment: those of the decision core, the names of classes and tenants, and the
-//! connection parameters that only the host uses.
+//! connection parameters, which the decision core does not use.
 
 use pinetrestle::interface::{Micros, Settings};
 
@@ -16,16 +16,16 @@
     pub transport: Transport,
 }
 
-/// Parameters of the connections to index servers. The host chooses a default for each one that the settings
-/// don't contain.
+/// Parameters of the connections to index servers. The front node chooses a default for each one that the
+/// settings don't contain.
 #[derive(Clone, Debug, Default)]
 pub struct Transport {
     /// Number of shards (key `family_info.slabs`).
     pub shards: Option<u32>,
     /// Maximum number of parts in flight on one connection (key `permissions.streams_per_conn`).
-    pub streams_per_conn: Option<u32>,
+    pub max_parts_per_connection: Option<u32>,
     /// Time without traffic after which an index server closes a connection (key `permissions.conn_idle`).
-    pub conn_idle: Option<Micros>,
+    pub server_idle_timeout: Option<Micros>,
     /// Maximum time for establishing a connection (key `permissions.connect_timeout`).
     pub connect_timeout: Option<Micros>,
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -117,8 +117,8 @@
     read_nested(options, "permissions", |permissions| {
         Ok(Transport {
             shards,
-            streams_per_conn: optional(permissions, "streams_per_conn", count_u32)?,
-            conn_idle: optional(permissions, "conn_idle", micros)?,
+            max_parts_per_connection: optional(permissions, "streams_per_conn", count_u32)?,
+            server_idle_timeout: optional(permissions, "conn_idle", micros)?,
             connect_timeout: optional(permissions, "connect_timeout", micros)?,
         })
     })
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -55,8 +55,8 @@
     assert_eq!((deployment.class("two"), deployment.class("three")), (Some(1), None));
     assert_eq!((deployment.tenant("south"), deployment.tenant("two")), (Some(1), None));
     let transport = &deployment.transport;
-    assert_eq!((transport.shards, transport.streams_per_conn), (Some(18), Some(32)));
-    assert_eq!(transport.conn_idle, Some(Micros(15_000_000)));
+    assert_eq!((transport.shards, transport.max_parts_per_connection), (Some(18), Some(32)));
+    assert_eq!(transport.server_idle_timeout, Some(Micros(15_000_000)));
     assert_eq!(transport.connect_timeout, Some(Micros(250_000)));
 }
 
@@ -75,7 +75,7 @@
         pinetrestle_settings::read(&options).expect("valid settings");
     assert!(!settings.clients_mark_retries && settings.rules.retry_budget.is_none());
     assert_eq!((settings.wasted_work_cost, settings.over_quota_weight_share), (0.0, 1.0));
-    assert_eq!((transport.shards, transport.streams_per_conn), (None, None));
+    assert_eq!((transport.shards, transport.max_parts_per_connection), (None, None));
 }
 
 #[test]
