--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -165,7 +165,7 @@
         /// Updates received that contain only the changes to the endpoint list.
         changes => "changes",
         /// Keep-alives received.
-        heartbeats => "alive",
+        keep_alives => "alive",
     }
 }
 
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Watches on the endpoint list at the discovery service.
 //!
-//! A watch is an HTTP request on a connection of its own. Discovery answers with a stream of lines: the
+//! A watch is an HTTP request on a connection of its own. Discovery answers with a stream of events: the
 //! complete endpoint list or changes to it, and keep-alives while nothing changes. [`WatchSupervisor`]
 //! decides when a watch is opened and which of several watches is the active one; [`DiscoveryTask`]
-//! executes its decisions. Each watch has a task of its own, which forwards the received lines to the
+//! executes its decisions. Each watch has a task of its own, which forwards the received events to the
 //! discovery task. If the endpoint list is polled, the decision core decides when a watch is requested.
 
 use crate::close_reason::CloseReason;
@@ -38,7 +38,7 @@
     pub(crate) address_changed: Rc<Notify>,
     /// State of the active watch and of the pending ones.
     pub(crate) watches: WatchSupervisor<SocketAddr>,
-    /// Counters of watches and of the lines that they receive.
+    /// Counters of watches and of the events that they receive.
     pub(crate) counters: Rc<Counters>,
     /// Sender of endpoint list updates and watch failures to the event loop.
     pub(crate) to_event_loop: mpsc::Sender<Message>,
@@ -50,7 +50,7 @@
 struct WatchReport {
     /// Id of the watch.
     watch_id: u64,
-    /// A line received by the watch, or the reason why its connection was closed.
+    /// An event received by the watch, or the reason why its connection was closed.
     event: Result<WatchEvent, CloseReason>,
 }
 
@@ -102,9 +102,9 @@
         running: &mut RunningWatches,
     ) -> Vec<WatchAction<SocketAddr>> {
         match report.event {
-            Ok(line) => {
-                self.count(&line);
-                self.watches.on_event(report.watch_id, line)
+            Ok(event) => {
+                self.count(&event);
+                self.watches.on_event(report.watch_id, event)
             }
             Err(reason) => {
                 self.counters.closes.increment("discovery", reason.code());
@@ -114,12 +114,12 @@
         }
     }
 
-    fn count(&self, line: &WatchEvent) {
+    fn count(&self, event: &WatchEvent) {
         let counts = &self.counters.discovery;
-        match line {
+        match event {
             WatchEvent::Update(ListUpdate { complete: true, .. }) => counts.full_lists.increment(),
             WatchEvent::Update(_) => counts.changes.increment(),
-            WatchEvent::KeepAlive => counts.heartbeats.increment(),
+            WatchEvent::KeepAlive => counts.keep_alives.increment(),
         }
     }
 
@@ -135,8 +135,8 @@
             }
             WatchAction::Close(watch_id) => drop(running.remove(&watch_id)),
             // Sending fails only if the event loop has ended, when messages are no longer needed.
-            WatchAction::Deliver(event) => {
-                drop(self.to_event_loop.send(Message::EndpointUpdate(event)).await)
+            WatchAction::Deliver(update) => {
+                drop(self.to_event_loop.send(Message::EndpointUpdate(update)).await)
             }
             WatchAction::ReportLost => {
                 self.counters.discovery.watches_lost.increment();
@@ -158,7 +158,7 @@
         let (handle, handle_dropped) = oneshot::channel();
         let live_config = self.live_config.clone();
         let connection =
-            WatchConnection { live_config, address, after, watch_id, report_sender, lines: 0, bytes_in: 0 };
+            WatchConnection { live_config, address, after, watch_id, report_sender, events: 0, bytes_in: 0 };
         spawn_local(connection.run(handle_dropped, self.log.clone()));
         handle
     }
@@ -172,8 +172,8 @@
     after: u64,
     watch_id: u64,
     report_sender: mpsc::Sender<WatchReport>,
-    /// Number of complete lines received.
-    lines: u64,
+    /// Number of events received, logged as `lines`.
+    events: u64,
     /// Number of bytes received.
     bytes_in: u64,
 }
@@ -187,7 +187,7 @@
             _ = handle_dropped => CloseReason::Superseded,
         };
         info!(log, "connection ended"; "side" => "discovery", "peer" => %self.address,
-            "age_ms" => started_at.elapsed().as_millis() as u64, "lines" => self.lines, "in" => self.bytes_in,
+            "age_ms" => started_at.elapsed().as_millis() as u64, "lines" => self.events, "in" => self.bytes_in,
             "after" => self.after, "reason" => %reason);
         self.report(Err(reason)).await;
     }
@@ -197,18 +197,18 @@
         let _ = self.report_sender.send(WatchReport { watch_id: self.watch_id, event }).await;
     }
 
-    /// Returns the maximum time until the next complete line, counted from the previous line, or from the
-    /// start of the watch if there is none.
-    fn line_timeout(&self) -> Duration {
+    /// Returns the maximum time until the next event, counted from the previous event, or from the start of
+    /// the watch if there is none.
+    fn event_timeout(&self) -> Duration {
         let transport = &self.live_config.get().transport;
-        if self.lines > 0 {
+        if self.events > 0 {
             transport.watch_silence_timeout
         } else {
             transport.discovery_answer_timeout
         }
     }
 
-    /// Opens the connection and receives lines until it ends. Returns the close reason.
+    /// Opens the connection and receives events until it ends. Returns the close reason.
     async fn watch(&mut self) -> CloseReason {
         let started_at = Instant::now();
         match self.send_request(started_at).await {
@@ -219,7 +219,7 @@
 
     /// Connects to discovery and sends the watch request. Returns the connection.
     async fn send_request(&self, started_at: Instant) -> Result<TcpStream, CloseReason> {
-        let deadline = started_at + self.line_timeout();
+        let deadline = started_at + self.event_timeout();
         let stream = match before_deadline(deadline, connect(self.address, deadline)).await {
             None => return Err(CloseReason::ConnectTimeout),
             Some(Err(error)) if is_transient_local_error(&error) => return Err(CloseReason::NoLocalSocket),
@@ -228,23 +228,23 @@
         };
         let names = self.live_config.get().names.wire.clone();
         let request = encode_watch_request(&names, &self.address.to_string(), self.after);
-        match before_deadline(started_at + self.line_timeout(), write_all(&stream, &request)).await {
+        match before_deadline(started_at + self.event_timeout(), write_all(&stream, &request)).await {
             Some(Ok(())) => Ok(stream),
             _ => Err(CloseReason::WriteFailed),
         }
     }
 
-    /// Receives lines until the connection ends. Returns the close reason.
+    /// Receives events until the connection ends. Returns the close reason.
     async fn receive(&mut self, stream: &TcpStream, started_at: Instant) -> CloseReason {
-        // Only a complete line extends the deadline. Otherwise a peer that sends single bytes could keep
+        // Only a complete event extends the deadline. Otherwise a peer that sends single bytes could keep
         // the connection open without delivering an update.
-        let mut last_line_at = started_at;
+        let mut last_event_at = started_at;
         let mut decoder = WatchDecoder::new(self.live_config.get().names.wire.clone());
         let mut buffer = vec![0; READ_SIZE];
         loop {
-            let deadline = last_line_at + self.line_timeout();
+            let deadline = last_event_at + self.event_timeout();
             let count = match before_deadline(deadline, read(stream, &mut buffer)).await {
-                None if self.lines > 0 => return CloseReason::WatchSilent,
+                None if self.events > 0 => return CloseReason::WatchSilent,
                 None => return CloseReason::NoResponse,
                 Some(Err(_)) => return CloseReason::Reset,
                 Some(Ok(0)) => return CloseReason::PeerClosed,
@@ -254,10 +254,10 @@
             decoder.feed(&buffer[..count]);
             loop {
                 match decoder.next_event() {
-                    Ok(Some(line)) => {
-                        self.lines += 1;
-                        last_line_at = Instant::now();
-                        self.report(Ok(line)).await;
+                    Ok(Some(event)) => {
+                        self.events += 1;
+                        last_event_at = Instant::now();
+                        self.report(Ok(event)).await;
                     }
                     Ok(None) => break,
                     Err(error) => return error.into(),
