--- a/crates/node/src/arguments.rs
+++ b/crates/node/src/arguments.rs
@@ -10,12 +10,12 @@
     /// Operator file of the flight recorder (JSON5). Without it nothing is recorded.
     #[arg(long, value_name = "FILE")]
     pub(crate) recorder: Option<PathBuf>,
-    /// Names file (JSON) with the deployment's header fields, paths, JSON keys and frame letters. Names that
-    /// it does not contain have the defaults of the protocol page.
+    /// Names file (JSON) with the deployment's header fields, paths, JSON keys and frame format. Names that it
+    /// does not contain have the default names of the wire protocol.
     #[arg(long, value_name = "FILE")]
     pub(crate) names: Option<PathBuf>,
     /// Wire description (JSON) whose object `init` contains the deployment's names of settings keys. Without
-    /// it the settings keys are those of the wire page.
+    /// it the settings have the canonical keys.
     #[arg(long = "words", value_name = "FILE")]
     pub(crate) settings_names: Option<PathBuf>,
 }
--- a/crates/node/src/config/names.rs
+++ b/crates/node/src/config/names.rs
@@ -10,11 +10,11 @@
 /// Names that a deployment may choose.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentNames {
-    /// Header fields, paths, keys of JSON bodies, and letters of frames in the network protocols. The
-    /// defaults are the names of the operators' protocol page.
+    /// Header fields, paths, keys of JSON bodies, and the frame format in the network protocols. The module
+    /// [`pinetrestle_protocol::names`] defines the defaults.
     pub wire: Rc<WireNames>,
-    /// Keys of the object `settings` of the configuration file. The defaults are the keys of the operators'
-    /// wire page.
+    /// Keys of the object `settings` of the configuration file. The defaults are the canonical keys, which
+    /// [`pinetrestle_settings::read`] expects.
     pub setting_keys: KeyAliases,
 }
 
--- a/crates/protocol/src/names.rs
+++ b/crates/protocol/src/names.rs
@@ -1,7 +1,7 @@
 //! The names and formats used on the wire: header fields, paths, JSON keys, and the format of frames.
 //!
-//! The defaults are those of the operators' protocol page. A deployment can override them with a JSON file,
-//! the names file, which [`WireNames::read`] reads. Names that the file does not contain keep their defaults.
+//! This module defines the default of each name. A deployment can override the defaults with a JSON file, the
+//! names file, which [`WireNames::read`] reads. Names that the file does not contain keep their defaults.
 
 use serde_json::{Map, Value};
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! - [`read`] reads a settings object into a [`Deployment`]: the settings of the decision core, the names
 //!   of classes and tenants, and the connection parameters in [`Transport`]. Absent optional keys get their
-//!   neutral defaults. The keys that [`read`] expects are the canonical keys, as the operators' description
-//!   of the wire format names them.
+//!   neutral defaults. The keys that [`read`] expects are the canonical keys. The simulator sends settings to
+//!   `crates/benchlink` with these keys.
 //! - [`KeyAliases`] reads the settings of a deployment that uses other names for some of the keys. It maps
 //!   these aliases to the canonical keys, calls [`read`], and names the key in an error as the settings
 //!   object spells it.
