--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -104,7 +104,7 @@
     assert!(["10.0.0.1:7", "10.0.0.2:7"].contains(&attempt["server"].as_str().expect("a string")));
     let closed = json!({"what": "CLOSED_ATTEMPT", "who": 4, "id": attempt["id"], "try": 0,
                         "server": attempt["server"], "state_code": "ok", "lag": 90000, "settled": true,
-                        "telemetry": {"unheard_of": 1.0}})
+                        "telemetry": {"unknown_key": 1.0}})
     .to_string();
     let text = batch(1000, &start_instance(4)) + &batch(6000, &query(4)) + &batch(96000, &[closed]);
     let last = replies(&run(&text)).remove(2);
@@ -116,7 +116,7 @@
 fn an_unknown_outcome_counts_as_an_error_and_is_retried() {
     let closed = |part: u32| {
         json!({"what": "CLOSED_ATTEMPT", "who": 4, "id": part, "try": 0, "server": "10.0.0.1:7",
-               "state_code": "splendid", "lag": 90000, "settled": false, "telemetry": null})
+               "state_code": "unknown_outcome", "lag": 90000, "settled": false, "telemetry": null})
         .to_string()
     };
     let text =
@@ -129,7 +129,7 @@
 #[test]
 fn a_replica_in_an_unknown_lifecycle_state_gets_no_attempts() {
     let mut lines = start_instance(4);
-    lines[1] = lines[1].replace("\"lifecycle\":\"on\"", "\"lifecycle\":\"dozing\"");
+    lines[1] = lines[1].replace("\"lifecycle\":\"on\"", "\"lifecycle\":\"unknown_state\"");
     let actions = replies(&run(&(batch(1000, &lines) + &batch(6000, &query(4))))).remove(1);
     assert!(actions_of_kind(&actions, "ATTEMPT").is_empty(), "{actions:?}");
 }
@@ -137,7 +137,7 @@
 #[test]
 fn a_list_of_an_unknown_mode_counts_as_a_failed_poll() {
     let mut lines = start_instance(4);
-    lines[2] = lines[2].replace("\"disk\"", "\"hearsay\"");
+    lines[2] = lines[2].replace("\"disk\"", "\"unknown_mode\"");
     let actions = replies(&run(&(batch(1000, &lines) + &batch(6000, &query(4))))).remove(1);
     assert!(actions_of_kind(&actions, "ATTEMPT").is_empty());
 }
@@ -176,7 +176,7 @@
 #[test]
 fn unknown_events_and_events_of_unknown_instances_are_skipped() {
     let ignored = vec![
-        json!({"what": "WEATHER", "who": 4, "sky": "blue"}).to_string(),
+        json!({"what": "UNKNOWN_EVENT", "who": 4, "key": "value"}).to_string(),
         json!({"what": "MEMO", "who": 4, "src": 2, "blob": "aGkgNw=="}).to_string(),
         json!({"what": "RING", "who": 77, "mark": "wake"}).to_string(),
     ];
