--- a/crates/node/src/clients/admission.rs
+++ b/crates/node/src/clients/admission.rs
@@ -92,7 +92,7 @@
 }
 
 impl Admission {
-    /// Starts without connections. The limit is `client_connections` of the configuration in force.
+    /// Starts without connections. The limit is `client_connections` of the current configuration.
     pub(super) fn new(live_config: Rc<LiveConfig>, counters: Rc<Counters>) -> Admission {
         Admission {
             live_config,
@@ -128,7 +128,7 @@
             return;
         }
         // In a flood of connections that send nothing, the new connections move to `unused` when their grace
-        // period ends and are evicted from there. Idle connections, which have sent requests, are spared.
+        // period ends and are evicted from there. Idle connections have sent requests, so they are kept.
         let mostly_new = self.new_connections.get() * 2 >= limit;
         if !mostly_new {
             self.idle.evict_oldest();
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -66,8 +66,8 @@
     /// Reads one request, handles it and writes its response.
     ///
     /// # Errors
-    /// The reason to close the connection. If a request was read, its response has been written by then,
-    /// unless the client disconnected or the socket failed.
+    /// The reason to close the connection. If a request was read, its response has been written, unless the
+    /// client disconnected or the socket failed.
     async fn serve_request(&mut self) -> Result<(), CloseReason> {
         let began_at = self.read_request().await?;
         let received_at = self.socket.request_received_at(began_at);
--- a/crates/node/src/clients/listener.rs
+++ b/crates/node/src/clients/listener.rs
@@ -15,8 +15,8 @@
 
 /// Delay before the next `accept` after a failure for lack of local resources, such as file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// The delay of [`ACCEPT_BACKOFF`] is also applied after every run of this many consecutive failures,
-/// whatever the error: the listening socket itself may be broken.
+/// The delay of [`ACCEPT_BACKOFF`] is also applied after every run of this many consecutive failures with any
+/// error, because the listening socket itself may be broken.
 const MAX_FAILURES_WITHOUT_BACKOFF: u32 = 64;
 /// Minimum interval between two log lines about failures of `accept`. All failures are counted.
 const ACCEPT_LOG_INTERVAL: Duration = Duration::from_secs(1);
@@ -124,7 +124,7 @@
         }
         self.failures.consecutive += 1;
         // Any other error, such as `ECONNABORTED`, concerns only the connection at the front of the queue,
-        // which is gone. The connections behind it are accepted without delay.
+        // which the failed `accept` has removed. The connections behind it are accepted without delay.
         let needs_backoff = is_accept_resource_error(error)
             || self.failures.consecutive.is_multiple_of(MAX_FAILURES_WITHOUT_BACKOFF);
         if needs_backoff {
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -40,7 +40,7 @@
 
 /// The shared services of the front node that client connections use.
 pub(crate) struct ClientServices {
-    /// The configuration in force.
+    /// The current configuration.
     pub(crate) live_config: Rc<LiveConfig>,
     /// The counters reported at `/stats`.
     pub(crate) counters: Rc<Counters>,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Sets the deadline of a shutdown: requests whose first bytes have been received are answered by then.
+    /// Sets the deadline of a shutdown. Requests whose first bytes have been received are answered before it.
     pub(crate) fn begin_shutdown(&self, deadline: Instant) {
         self.shutdown_deadline.set(Some(deadline));
     }
@@ -93,7 +93,7 @@
         self.admission.connection_closed().await;
     }
 
-    /// Allocates the number of a query, by which this query is named in messages to the event loop.
+    /// Allocates the number of a query, by which messages to the event loop refer to the query.
     fn allocate_query_number(&self) -> u64 {
         let query_number = self.next_query_number.get();
         self.next_query_number.set(query_number + 1);
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Config`] is the complete, validated configuration with all defaults filled in. The module `file` finds
 //! and parses the configuration file. [`DeploymentNames`] contains the names that a deployment may choose,
-//! [`Transport`] the timeouts and limits of the sockets. [`LiveConfig`] holds the [`Config`] in force while
-//! the program runs.
+//! [`Transport`] the timeouts and limits of the sockets. [`LiveConfig`] holds the current [`Config`], which a
+//! reload replaces.
 
 pub(crate) mod file;
 mod live;
@@ -55,10 +55,10 @@
     raw_settings: Value,
 }
 
-/// The result of a reload: a configuration that may replace the one in force.
+/// The result of a reload: a configuration that may replace the current one.
 #[derive(Clone, Debug)]
 pub struct Revision {
-    /// The new configuration. The keys in `needs_restart` keep the values in force.
+    /// The new configuration. The keys in `needs_restart` keep their current values.
     pub config: Config,
     /// Keys of the file whose values have changed but take effect only after a restart.
     pub needs_restart: Vec<&'static str>,
@@ -105,10 +105,10 @@
         })
     }
 
-    /// Parses a file that is reloaded while this configuration is in force.
+    /// Parses a reloaded file, which is to replace this configuration.
     ///
-    /// The object `settings` of this configuration stays in force even if the file changes it, because open
-    /// queries and attempts have been counted according to these settings.
+    /// The object `settings` of this configuration is kept even if the file changes it, because open queries
+    /// and attempts have been counted according to these settings.
     ///
     /// # Errors
     /// The same errors as [`Config::from_json_with_names`]. The file is also rejected if it changes `name` or
--- a/crates/node/src/flight_recorder.rs
+++ b/crates/node/src/flight_recorder.rs
@@ -122,8 +122,8 @@
     pub(crate) async fn run(self: Rc<Self>, write_request: Rc<Notify>) {
         let follow_interval = Duration::from_millis(self.settings.follow_ms);
         let mut alarm_writes = 0;
-        // An interval keeps its schedule while other branches of the loop run. A sleep would start anew in
-        // each iteration, and never end if periodic writes are more frequent.
+        // An interval keeps its schedule while other branches of the loop run. A sleep would be restarted in
+        // each iteration, and would never end if periodic writes are more frequent.
         let mut alarm_poll = interval(ALARM_POLL_INTERVAL);
         let mut followed_until = 0;
         let mut next_follow = Instant::now() + follow_interval;
--- a/crates/node/src/host/interface.rs
+++ b/crates/node/src/host/interface.rs
@@ -85,7 +85,7 @@
     /// Report a defect of the decision core: it ordered another attempt of a non-idempotent part although an
     /// earlier attempt may have run. The attempt was not sent. Contains the wire id of the query.
     ReportForbiddenRetry(String),
-    /// Write a line to the operators' log.
+    /// Write a line to the log.
     Log(String),
     /// Report a defect of the decision core: it left attempts in flight whose queries had ended before the
     /// latest batch. Contains the number of these attempts.
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -61,9 +61,9 @@
 }
 
 /// Applies each valid configuration file. An invalid file is rejected as a whole, and the current
-/// configuration stays in force.
+/// configuration is kept.
 pub(crate) struct Reloader {
-    /// The configuration in force.
+    /// The current configuration.
     pub(crate) live_config: Rc<LiveConfig>,
     /// Notified when a reload changes the address of discovery.
     pub(crate) discovery_address_changed: Rc<Notify>,
--- a/crates/node/tests/inside/pause_detector.rs
+++ b/crates/node/tests/inside/pause_detector.rs
@@ -26,6 +26,6 @@
     assert_eq!(
         detector.earliest_arrival_at(later),
         later,
-        "bytes that arrived during the pause have been read by then"
+        "bytes that arrived during the pause were read before this time"
     );
 }
--- a/crates/recorder/src/record.rs
+++ b/crates/recorder/src/record.rs
@@ -96,23 +96,23 @@
 
 event_kinds! {
     RequestRead 1 "request read"
-        "A request was read completely; `value`: its age then, in microseconds.",
+        "A request was read completely; `value`: its age at that time, in microseconds.",
     QueryAccepted 2 "query accepted"
-        "The decision core was given the query; `value`: its parts.",
+        "The query was passed to the decision core; `value`: number of its parts.",
     QueryNotAccepted 3 "query not accepted"
-        "The query was not accepted: its id is in use, or too many are in flight.",
+        "The query was not accepted: its id is in use or was used recently, or too many queries and parts are open.",
     AttemptDecided 4 "attempt decided"
-        "The decision core decided on an attempt of the part; `value`: its replica.",
+        "The decision core decided on an attempt of the part; `value`: replica of the attempt.",
     PartQueued 5 "part queued"
-        "The part was queued on a connection; `value`: its replica.",
+        "The part was queued on a connection; `value`: replica of the connection.",
     NoConnection 6 "no connection"
-        "No connection could take the part; `value`: its replica.",
+        "No connection to the replica was available for the part; `value`: the replica.",
     FirstByteWritten 7 "first byte written"
         "The first byte of the part's frame was written.",
     LastByteWritten 8 "last byte written"
-        "The last byte of the part's frame was written; `value`: parts of the frame.",
+        "The last byte of the part's frame was written; `value`: number of parts in the frame.",
     AttemptCancelled 9 "attempt cancelled"
-        "The attempt was cancelled; `detail`: 1 if it was still queued and nothing of it was written.",
+        "The attempt was cancelled; `detail`: 1 if the write of its call had not started.",
     CancelWritten 10 "cancel written"
         "The frame that cancels the part was written.",
     AnswerRead 11 "answer read"
@@ -120,25 +120,25 @@
     ReplyDecided 14 "reply decided"
         "The reply to the client was decided; `detail`: 0 served, 1 rejected, 2 failed.",
     ReplyWritten 15 "reply written"
-        "The last byte of the reply to the client was written; `value`: its status.",
+        "The last byte of the reply to the client was written; `value`: its HTTP status.",
     ReplyNotWritten 16 "reply not written"
-        "The reply to the client could not be written; `value`: its status.",
+        "The reply to the client could not be written; `value`: its HTTP status.",
     ClientDisconnected 17 "client disconnected"
-        "The client was found to have closed its connection.",
+        "The front node detected that the client had closed its connection.",
     ConnectionOpening 18 "connection opening"
-        "A connection to an index server was begun; `value`: its replica.",
+        "The front node started to open a connection to an index server; `value`: its replica.",
     ConnectionUp 19 "connection up"
         "The connection was established.",
     BytesRead 20 "bytes read"
-        "Bytes were read from a connection; `value`: how many.",
+        "Bytes were read from a connection to an index server; `value`: their number.",
     ConnectionDraining 21 "connection draining"
-        "The connection takes no more parts; `detail`: 1 if nothing was ever read from it.",
+        "The connection accepts no more calls; `detail`: 1 if the index server does not respond on it.",
     ConnectionClosed 22 "connection closed"
-        "The connection has ended; `value`: parts that were in flight on it.",
+        "The connection has ended; `value`: number of parts that were in flight on it.",
     InvariantViolated 23 "invariant violated"
-        "An invariant was found violated; `detail`: its number.",
+        "A violated invariant was detected; `detail`: number of the invariant.",
     ProcessPaused 24 "process paused"
-        "The process did not run for a while; `value`: microseconds.",
+        "The process did not run for some time; `value`: duration in microseconds.",
 }
 
 /// An event of a query, part or connection.
