--- a/crates/node/src/arguments.rs
+++ b/crates/node/src/arguments.rs
@@ -15,7 +15,7 @@
     #[arg(long, value_name = "FILE")]
     pub(crate) names: Option<PathBuf>,
     /// Wire description (JSON) whose object `init` contains the deployment's names of settings keys. Without
-    /// it the settings have the canonical keys.
+    /// it the settings have the canonical keys, such as `hard_limit`.
     #[arg(long = "words", value_name = "FILE")]
     pub(crate) settings_names: Option<PathBuf>,
 }
