--- a/src/front_node/admission.rs
+++ b/src/front_node/admission.rs
@@ -65,8 +65,8 @@
         // Randomized, so that classes with a similar weight per work have similar chances of admission.
         let weight_per_work = priority.weight_per_work * (0.5 + self.random.next());
         let lower = self.recent_weights_per_work.iter().filter(|other| **other < weight_per_work).count();
-        // A tenant over its quota can use no capacity that is reserved for higher priorities, whatever its
-        // load.
+        // Queries of a tenant over its quota get the lowest rank, so they can't use the capacity that is
+        // reserved for higher priorities.
         let rank = if priority.over_quota {
             0.0
         } else {
--- a/src/front_node/attempts.rs
+++ b/src/front_node/attempts.rs
@@ -67,7 +67,7 @@
     /// as one in flight for some time, which is longer if there are other recent failures. In addition, a
     /// long wait for the failure raises the latency ratio if `raises_ratio` is set, which it is not for a
     /// timeout before the attempt was overdue. This also works for replicas that fail a single class of
-    /// queries. Its drawback is that errors that are caused by the query are held against the replica.
+    /// queries. Its drawback is that errors that are caused by the query count as failures of the replica.
     fn record_failure(&mut self, ended: &InFlightAttempt, elapsed: Micros, raises_ratio: bool) {
         let ratio = self.ratio_to_typical(ended, elapsed);
         let penalty_time = FAILURE_PENALTY_TIME.max(self.mean_call_interval);
--- a/src/front_node/endpoint_list.rs
+++ b/src/front_node/endpoint_list.rs
@@ -31,8 +31,8 @@
     /// Schedules a new request after the watch has failed.
     ///
     /// The backoff grows with each failure and is randomized to spread the requests of many front nodes. It
-    /// is bounded so that three requests fit into the time after which a change of the list is treated as
-    /// known to the front node.
+    /// is bounded so that three requests fit into the time after which the front node is expected to know a
+    /// change of the list.
     pub(super) fn on_watch_failed(&mut self) {
         let watch = &mut self.endpoint_watch;
         watch.requested_at = None;
--- a/src/front_node/events.rs
+++ b/src/front_node/events.rs
@@ -70,8 +70,9 @@
     ///
     /// A retry that is given less time than the longest try of its class is limited by the client's deadline,
     /// so the time left before the deadline shows how long the client has waited. If clients do not mark
-    /// retries, every short try counts as a retry, except after so many consecutive short tries that clients
-    /// must generally allow less time than before.
+    /// retries, a short try counts as a retry while fewer than [`MAX_CONSECUTIVE_SHORT_TRIES`] short tries
+    /// have come in a row. From that number on, the clients of the class are assumed to allow less time for
+    /// every try than before.
     fn time_waited_in_earlier_tries(&mut self, arrived: &ArrivedQuery) -> Micros {
         let tries = &mut self.client_tries[arrived.class];
         let is_full = arrived.expires_in.ratio_to(tries.longest) > FULL_TRY_SHARE;
--- a/src/front_node/mod.rs
+++ b/src/front_node/mod.rs
@@ -13,7 +13,7 @@
 //! - `dispatch`, `overdue`: replica selection, sending of attempts, and hedged requests for overdue ones;
 //! - `retry`, `slow_start`: checks before each send;
 //! - `query_of_death`: containment of queries that crash replicas;
-//! - `tuning`: the tuned constants of all submodules.
+//! - `tuning`: the constants of all submodules.
 
 use crate::interface::{Action, Event, Id, Micros, ReplicaId, Settings};
 use crate::numeric::{DecayingCounter, SlidingWindow, SplitMix64};
--- a/src/front_node/stalls.rs
+++ b/src/front_node/stalls.rs
@@ -1,7 +1,7 @@
 //! Detection of stalls: intervals in which no replica responds, or in which no external event arrives at all.
 //!
 //! The cause is a pause of this machine, of the network or of a common dependency. Such a stall delays all
-//! attempts, so it is not held against single replicas.
+//! attempts, so it is not attributed to single replicas.
 
 use super::attempts::is_response;
 use super::tuning::{RESUME_DELAY, STALL_MULTIPLE};
--- a/src/front_node/tuning.rs
+++ b/src/front_node/tuning.rs
@@ -1,7 +1,7 @@
-//! Tuned constants of the decisions.
+//! Constants of the decisions.
 //!
-//! None of them depends on a deployment: each is a ratio of observed values, or a time span against which
-//! such ratios settle. docs/design.md states how sensitive the results are to each.
+//! None of them depends on a deployment: they are ratios of observed values, counts and time spans.
+//! docs/design.md states how sensitive the results are to each.
 
 use crate::interface::Micros;
 
@@ -20,12 +20,12 @@
 
 /// Wait before the endpoint list is polled again after a first failure.
 pub(super) const INITIAL_POLL_BACKOFF: Micros = Micros(200_000);
-/// Age after which a change of the endpoint list is treated as known to the front node, according to the
+/// Age of a change of the endpoint list after which the front node is expected to know it, according to the
 /// protocol documentation.
 pub(super) const LIST_STALENESS_LIMIT: Micros = Micros(6_000_000);
 /// Factor by which the poll backoff grows with each failure.
 pub(super) const POLL_BACKOFF_GROWTH: f64 = 2.0;
-/// Maximum poll backoff, as a share of the time after which a change is treated as known to the front node.
+/// Maximum poll backoff, as a share of the time after which the front node is expected to know a change.
 /// Three polls fit into that time.
 pub(super) const MAX_POLL_BACKOFF_SHARE: f64 = 0.2;
 /// Time after which an unanswered poll is repeated, as a share of `Rules::max_list_staleness`.
@@ -118,8 +118,8 @@
 pub(super) const FAILURE_WEIGHT: f64 = 2.0;
 /// Number of parts in flight that a recent failure counts as if the replica has answered an attempt since.
 pub(super) const RECOVERED_FAILURE_WEIGHT: f64 = 0.5;
-/// Number of consecutive short tries from which they no longer count as retries, if clients do not mark
-/// retries.
+/// Number of consecutive short tries from which short tries no longer count as retries, if clients do not
+/// mark retries.
 pub(super) const MAX_CONSECUTIVE_SHORT_TRIES: u32 = 16;
 /// Share of the time of the longest try above which a try does not count as short.
 pub(super) const FULL_TRY_SHARE: f64 = 0.99;
@@ -140,7 +140,7 @@
 /// Number of parts above which a query is wide, as a share of the number of replicas.
 pub(super) const WIDE_QUERY_SHARE: f64 = 0.33;
 
-/// Number of ticks before the end of its time at which a query is given up.
+/// Number of ticks before its deadline or its latency objective at which a query is given up.
 pub(super) const GIVE_UP_MARGIN_TICKS: f64 = 2.0;
 /// Tolerance for rounding errors in sums of weights. Also the lower bound of divisors that may be zero.
 pub(super) const EPSILON: f64 = 0.0001;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State of a front node: data types only, without decisions or tuned values.
+//! State of a front node: data types only, without the decisions and their constants.
 
 mod endpoint_watch;
 mod latency;
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -80,7 +80,7 @@
     assert!(waits[2] > waits[0], "{waits:?}");
     assert!(
         waits.iter().all(|wait| *wait < 1_850_000),
-        "three requests must fit into the time after which a change is treated as known: {waits:?}"
+        "three requests must fit into the time after which a change must be known: {waits:?}"
     );
 }
 
--- a/tests/replay/main.rs
+++ b/tests/replay/main.rs
@@ -1,9 +1,9 @@
 //! Replay: seeded runs of random events through `FrontNode`, each reduced to a digest of all its action
 //! batches.
 //!
-//! The expected digests were recorded before the decision core was split into modules and renamed (issue 43).
-//! A refactoring that keeps all decisions keeps all digests. Any change of a choice, of the order of random
-//! numbers or of a floating-point result changes a digest.
+//! The expected digests were recorded before the decision core was split into modules and its types were
+//! renamed, to show that this changed no decision. A refactoring that keeps all decisions keeps all digests.
+//! Any change of a choice, of the order of random numbers or of a floating-point result changes a digest.
 
 #[path = "../common/mod.rs"]
 mod common;
