--- a/crates/fleet/src/expiry.rs
+++ b/crates/fleet/src/expiry.rs
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Returns whether `lease` has been neither renewed nor granted anew since this observation.
+    /// Returns whether `lease` is still the observed lease: neither renewed since this observation nor
+    /// replaced by a lease with another token.
     fn is_current(&self, lease: &Lease) -> bool {
         self.token == lease.token && self.renewals == lease.renewals
     }
@@ -44,7 +45,7 @@
 
 /// Decides when the leader proposes to expire a lease.
 ///
-/// Every member has a monitor, but only the leader's one observes leases and proposes commands. A member
+/// Every member has a monitor, but only that of the leader observes leases and proposes commands. A member
 /// calls [`ExpiryMonitor::become_leader`] when it is elected and [`ExpiryMonitor::step_down`] when it loses
 /// leadership.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash)]
--- a/crates/member/src/config/file.rs
+++ b/crates/member/src/config/file.rs
@@ -21,7 +21,7 @@
     pub peers: Vec<Peer>,
     /// The directory for this member's Raft log and snapshot, and for its front node's output.
     pub data_dir: PathBuf,
-    /// Addresses to connect to instead of the peers' own ones, for example those of a proxy.
+    /// Addresses to connect to instead of those in `peers`, for example the addresses of a proxy.
     #[serde(default)]
     pub dial: Vec<Peer>,
     /// Duration of one Raft tick, in milliseconds.
@@ -189,7 +189,7 @@
     /// Arguments of the program.
     #[serde(default)]
     pub args: Vec<String>,
-    /// Environment variables that are set in addition to the member's own ones, such as `RELAY_CONFIG`.
+    /// Environment variables that are set in addition to those of the member, such as `RELAY_CONFIG`.
     #[serde(default)]
     pub env: BTreeMap<String, String>,
     /// Environment variables that are set on top of `env` in safe mode, such as a `RELAY_CONFIG` whose file
@@ -216,8 +216,7 @@
         self.peers.iter().find(|peer| peer.id == id).map(|peer| peer.address)
     }
 
-    /// Returns the address to connect to for the member `id`: that of its entry in `dial`, or else its own
-    /// one.
+    /// Returns the address to connect to for the member `id`: that in `dial`, or else that in `peers`.
     pub fn dial_address_of(&self, id: u64) -> Option<SocketAddr> {
         let dial = self.dial.iter().find(|peer| peer.id == id).map(|peer| peer.address);
         dial.or_else(|| self.address_of(id))
--- a/crates/member/src/rollout/leader_reports.rs
+++ b/crates/member/src/rollout/leader_reports.rs
@@ -19,7 +19,7 @@
 }
 
 impl LeaderReports {
-    /// Returns the command that puts `plan`, from the leader's configuration file, into force if the
+    /// Returns the command that makes `plan`, from the leader's configuration file, the current plan if the
     /// replicated state has no plan or one with a lower revision.
     pub(super) fn newer_plan(
         &mut self,
--- a/crates/member/src/rollout/mod.rs
+++ b/crates/member/src/rollout/mod.rs
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Returns the status of drains and releases, or `None` if no plan is in force yet.
+    /// Returns the status of drains and releases, or `None` if there is no current plan yet.
     pub fn status(&self, state: &RolloutState) -> Option<RolloutView> {
         status::rollout_view(state, self.agent.as_ref())
     }
--- a/crates/member/src/rollout/status.rs
+++ b/crates/member/src/rollout/status.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the state of drains and releases, or `None` if no plan is in force yet.
+/// Returns the state of drains and releases, or `None` if there is no current plan yet.
 pub(super) fn rollout_view(state: &RolloutState, agent: Option<&Agent>) -> Option<RolloutView> {
     let plan = state.plan()?;
     let unavailable = state.servers().filter(|(_, server)| server.is_unavailable());
--- a/crates/member/src/status.rs
+++ b/crates/member/src/status.rs
@@ -36,7 +36,7 @@
     /// The tasks whose leases this member wants, holds, or has wanted since its start.
     #[serde(rename = "mine")]
     pub own_tasks: Vec<OwnTaskView>,
-    /// The state of drains and releases; `None` if no plan is in force yet.
+    /// The state of drains and releases; `None` if there is no current plan yet.
     pub rollout: Option<RolloutView>,
     /// The state of the fleet's recovery from a power loss; `None` if this member's configuration file has no
     /// `rollout` section.
@@ -99,7 +99,7 @@
     /// has ended.
     #[serde(rename = "good")]
     pub last_good_version: String,
-    /// The halt in force, if any.
+    /// The current halt, if any.
     #[serde(rename = "halted")]
     pub halt: Option<HaltView>,
     /// The running release, or the last one.
--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -40,11 +40,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             WaitReason::JustStarted => "it has just started",
-            WaitReason::NoLeader => "no leader is known: a majority of members is not up, or can't talk",
+            WaitReason::NoLeader => {
+                "no leader is known: a majority of members must be up and able to reach each other"
+            }
             WaitReason::CountingMembers => "the fleet counts which members are present",
             WaitReason::AwaitingEndpointLists => "no front node served: discovery's list comes first",
             WaitReason::WaveNotOpen => {
-                "no front node served: they are admitted by waves, this one's is not open yet"
+                "no front node served: front nodes are admitted in waves, and its wave is not open yet"
             }
             WaitReason::PresenceNotApplied => "its own presence report has not been applied yet",
         })
--- a/crates/recovery/src/command.rs
+++ b/crates/recovery/src/command.rs
@@ -8,8 +8,8 @@
 /// Stored in the log with postcard: the order of the variants and of their fields is the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Records the election of a leader (proposed by that leader). The members that are present are then
-    /// counted anew.
+    /// Records the election of a leader (proposed by that leader). The count of the members that are present
+    /// then starts again.
     LeaderElected {
         /// The Raft term of the leader. The command is ignored if the term is not higher than that of the
         /// last election.
--- a/crates/recovery/src/stale_state.rs
+++ b/crates/recovery/src/stale_state.rs
@@ -1,10 +1,10 @@
-//! What a member may use state for that it finds on its own disk after a restart, and that may be outdated.
+//! What a member may do after a restart with the state that it finds on its own disk, which may be outdated.
 //!
 //! | state | harm if it is outdated | used to decide | used to be more cautious |
 //! | --- | --- | --- | --- |
 //! | the log and its snapshot | two leaders, two lease holders | only entries that a majority has, through the log | never on its own |
 //! | a drain of an index server | parts are sent to a server that is being stopped | once the log shows the drain in this incarnation | before that: nothing is sent to the server |
-//! | discovery's endpoint list | connections to machines that are gone, or that now do something else | never: discovery is polled | in safe mode while discovery does not respond: addresses to try |
+//! | discovery's endpoint list | connections to index servers that no longer exist, or whose addresses belong to other services now | never: discovery is polled | in safe mode while discovery does not respond: addresses to try |
 //! | a replica was slow or failed | a healthy replica gets no parts, the other replicas of its shard too many | never | never: the replica has restarted as well |
 //! | the version that ran last | an old version runs among new ones | once the log shows the version | before that: the version to start, which a later step replaces |
 //! | a lease was held | two lease holders | never | never |
--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -16,7 +16,7 @@
 /// Stored in the log with postcard: the order of the variants and of their fields is the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Puts a plan into force (leader, from its configuration file).
+    /// Makes a plan the current plan (leader, from its configuration file).
     Configure(Plan),
     /// Reports the state of a front node (agent).
     ReportStatus {
--- a/crates/rollout/src/outcome.rs
+++ b/crates/rollout/src/outcome.rs
@@ -48,7 +48,9 @@
     /// The command does not fit the unit's state: a slot for a front node that holds one or whose step is not
     /// waiting, the next ramp stage for an index server that is not ramping or is down, or a plan without a
     /// front node that holds a slot.
-    #[error("it is being changed already, or needs no change")]
+    #[error(
+        "the front node or index server is being changed already, needs no change, or can't be changed now"
+    )]
     NotEligible,
     /// Front nodes other than the canaries have to wait until the canaries have passed.
     #[error("the canaries have not passed yet")]
@@ -61,6 +63,6 @@
     #[error("no such front node or index server is known")]
     UnknownUnit,
     /// The command refers to a slot, report or change that is no longer the current one.
-    #[error("it is outdated: its slot has ended, or a later report or change was applied")]
+    #[error("the command is outdated: its slot has ended, or a later report or change was applied")]
     Stale,
 }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -8,12 +8,12 @@
 /// The settings for releases and drains, on which all members have to agree before anything is drained or
 /// released.
 ///
-/// The plan in force is the one with the highest revision that a leader has proposed from its configuration
+/// The current plan is the one with the highest revision that a leader has proposed from its configuration
 /// file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
     /// The revision of the plan, which increases with each change. A plan whose revision is not higher than
-    /// that of the plan in force changes nothing.
+    /// that of the current plan changes nothing.
     pub revision: u64,
     /// The front nodes, one per member.
     pub nodes: BTreeMap<MemberId, NodePlan>,
--- a/crates/rollout/src/state/mod.rs
+++ b/crates/rollout/src/state/mod.rs
@@ -45,7 +45,7 @@
         Self::default()
     }
 
-    /// Returns the plan in force, or `None` before the first one is applied.
+    /// Returns the current plan, or `None` before the first one is applied.
     pub fn plan(&self) -> Option<&Plan> {
         self.plan.as_ref()
     }
@@ -84,7 +84,7 @@
         self.release.as_mut().filter(|release| release.stage == ReleaseStage::Running)
     }
 
-    /// Returns the halt in force, if any.
+    /// Returns the current halt, if any.
     pub fn halt(&self) -> Option<&Halt> {
         self.halt.as_ref()
     }
--- a/crates/rollout/src/state/nodes.rs
+++ b/crates/rollout/src/state/nodes.rs
@@ -99,8 +99,8 @@
     }
 
     /// Sets the step of `node` back to waiting if the step had passed and the front node now reports a
-    /// version other than the release's target, as happens if the front node was started from an old state. A
-    /// release that had ended runs again.
+    /// version other than the release's target, as happens if a restarted member starts the front node before
+    /// it has applied the recent log entries. A release that had ended runs again.
     fn reopen_step_if_version_differs(&mut self, node: MemberId, version: &str) {
         let Some(release) = self.release.as_mut() else { return };
         if version == release.target_version() {
