--- a/crates/faultnet/src/lib.rs
+++ b/crates/faultnet/src/lib.rs
@@ -43,7 +43,7 @@
     OneWay,
     /// Bytes are forwarded after a delay.
     Delay {
-        /// Least delay of a chunk in milliseconds.
+        /// Minimum delay of a chunk in milliseconds.
         ms: u64,
         /// Upper bound of the random additional delay in milliseconds; the proxy's seed determines the random
         /// numbers.
--- a/crates/faultnet/src/proxy.rs
+++ b/crates/faultnet/src/proxy.rs
@@ -120,7 +120,7 @@
     seed: u64,
     log: Logger,
 ) {
-    let open = Arc::new(AtomicUsize::new(0));
+    let open_count = Arc::new(AtomicUsize::new(0));
     let mut accepted = 0u64;
     loop {
         let Ok((client, _)) = listener.accept().await else {
@@ -128,18 +128,18 @@
             continue;
         };
         accepted += 1;
-        if *fault.borrow() == Fault::Drop || open.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
+        if *fault.borrow() == Fault::Drop || open_count.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
             info!(log, "connection ended"; "reason" => EndReason::RefusedByFaultOrLimit.as_str());
             continue;
         }
         let fault = fault.clone();
         let log = log.clone();
-        let open = open.clone();
+        let open_count = open_count.clone();
         let connection_seed = seed ^ accepted.wrapping_mul(SEED_MULTIPLIER);
-        open.fetch_add(1, Ordering::Relaxed);
+        open_count.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
             let reason = forward_connection(client, target, fault, connection_seed).await;
-            open.fetch_sub(1, Ordering::Relaxed);
+            open_count.fetch_sub(1, Ordering::Relaxed);
             info!(log, "connection ended"; "reason" => reason.as_str());
         });
     }
@@ -161,6 +161,7 @@
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
     let forward = Forwarder::new(client_read, server_write, Direction::Forward, fault.clone(), seed);
+    // The rotated seed gives the two directions different random numbers.
     let backward =
         Forwarder::new(server_read, client_write, Direction::Backward, fault, seed.rotate_left(17));
     tokio::select! {
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// [`StoreError::FileSystem`] if the file cannot be read. [`StoreError::SnapshotCorrupt`] if the snapshot is
-/// incomplete or fails its checksum; as snapshots are replaced atomically, a crash does not explain that.
+/// incomplete or fails its checksum; a crash can't cause that, because snapshots are replaced atomically.
 pub fn read_snapshot(dir: &Path) -> Result<Option<Snapshot>, StoreError> {
     read_snapshot_with_fs(&OsFileSystem, dir)
 }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -94,7 +94,7 @@
 
 impl FaultyFileSystem {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.0.lock().expect("no panic")
+        self.0.lock().expect("lock not poisoned")
     }
 
     /// Runs `work` as one file-system call, subject to the planned fault.
@@ -300,8 +300,8 @@
 }
 
 /// Runs the operations with a fault plan and, after each of them, checks the log that a crash would leave. Of
-/// the bytes written since the last sync of a file, up to `crash_keeps` survive the crash.
-fn run(operations: &[Operation], plan: Option<FaultPlan>, crash_keeps: usize, case: &str) -> RunReport {
+/// the bytes written since the last sync of a file, up to `extra_bytes` survive the crash.
+fn run(operations: &[Operation], plan: Option<FaultPlan>, extra_bytes: usize, case: &str) -> RunReport {
     let dir = Path::new("/store");
     let fs = FaultyFileSystem::default();
     let mut log = Log::open_with_fs(Arc::new(fs.clone()), dir, 1).expect("no fault yet").log;
@@ -337,7 +337,7 @@
             }
         }
         for with_current_names in [false, true] {
-            let crashed = fs.after_crash(crash_keeps, with_current_names);
+            let crashed = fs.after_crash(extra_bytes, with_current_names);
             let case = format!("{case}, crash after operation {step}, current names {with_current_names}");
             model.check(&crashed, dir, &case);
         }
@@ -364,13 +364,13 @@
     for call in 1..=calls {
         for call_count in [1, 2, 5] {
             for fault in &faults {
-                for crash_keeps in [0, 1, 16, 20, 1000] {
+                for extra_bytes in [0, 1, 16, 20, 1000] {
                     let case = format!(
-                        "{fault:?} at calls {call} to {}, {crash_keeps} bytes kept",
+                        "{fault:?} at calls {call} to {}, {extra_bytes} unsynced bytes kept",
                         call + call_count - 1
                     );
                     let plan = FaultPlan { first_call: call, call_count, fault: *fault };
-                    let report = run(&OPERATIONS, Some(plan), crash_keeps, &case);
+                    let report = run(&OPERATIONS, Some(plan), extra_bytes, &case);
                     cases += 1;
                     faulty_cases += usize::from(report.had_fault);
                 }
--- a/crates/wheel/tests/sorted_map.rs
+++ b/crates/wheel/tests/sorted_map.rs
@@ -50,22 +50,22 @@
     wheel: TimingWheel<u64>,
     reference: SortedTimers,
     keys: Vec<(TimerKey, u64)>,
-    /// Number of timers inserted. The value of a timer is this number at its insertion.
-    values: u64,
+    /// The value of the timer inserted last; values count up from 1.
+    last_value: u64,
 }
 
 impl Compared {
     fn new(now: u64) -> Compared {
         let reference = SortedTimers { now, ..SortedTimers::default() };
-        Compared { wheel: TimingWheel::new(now), reference, keys: Vec::new(), values: 0 }
+        Compared { wheel: TimingWheel::new(now), reference, keys: Vec::new(), last_value: 0 }
     }
 
     fn insert(&mut self, at: u64) {
-        self.values += 1;
-        let key = self.wheel.insert(at, self.values);
+        self.last_value += 1;
+        let key = self.wheel.insert(at, self.last_value);
         assert_eq!(self.wheel.deadline(key), Some(at.max(self.reference.now)));
-        self.reference.insert(at, self.values);
-        self.keys.push((key, self.values));
+        self.reference.insert(at, self.last_value);
+        self.keys.push((key, self.last_value));
     }
 
     /// Cancels the timer of the key that `pick` selects, which may have fired already. Some keys are kept and
