--- a/crates/faultshim/src/plan.rs
+++ b/crates/faultshim/src/plan.rs
@@ -91,7 +91,7 @@
 struct ClockOffset {
     /// Start of the offset, in milliseconds after the library was loaded.
     from_ms: i64,
-    /// Milliseconds added to the wall clock; negative if it is behind.
+    /// Milliseconds added to the wall clock; negative to set it back.
     offset_ms: i64,
 }
 
--- a/crates/faultshim/tests/common/mod.rs
+++ b/crates/faultshim/tests/common/mod.rs
@@ -93,6 +93,7 @@
 impl FaultyDeployment {
     /// Starts a deployment and waits until the front node is ready.
     pub fn start(plan: &str) -> FaultyDeployment {
+        // `true` is a shell command that does nothing.
         FaultyDeployment::start_with_shell_setup("true", plan)
     }
 
@@ -108,7 +109,7 @@
         let setup = format!("{command}; {}", faults.shell_setup());
         let front_node = FrontNode::start_with_shell_setup(&setup, &node_program(), &config);
         let deployment = FaultyDeployment { servers, discovery, front_node, faults, started_at };
-        eventually("ready", || {
+        eventually("the front node is ready", || {
             status(deployment.front_node.address, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
         });
         deployment
--- a/crates/faultshim/tests/machine.rs
+++ b/crates/faultshim/tests/machine.rs
@@ -1,6 +1,6 @@
 //! A front node whose system calls fail with errors that Linux documents, or whose wall clock has an offset.
-//! It must answer all queries that it accepts, and must not overload a cold index server, one that has just
-//! started and is still warming up.
+//! It must answer all queries that it accepts, and must not overload an index server that has just started
+//! and is still warming up.
 
 mod common;
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn connections_that_cannot_be_made_here_for_a_moment_are_held_against_nobody() {
+fn connect_errors_caused_by_this_machine_do_not_count_as_server_failures() {
     for error in ["EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS", "EAGAIN"] {
         // For 150 ms, from 1 s after the front node's start, this machine can't open connections; for another
         // 50 ms it can't create sockets.
@@ -141,9 +141,9 @@
     front_node: FrontNode,
 }
 
-/// Starts three replicas with this service time, and a front node whose wall clock has this offset. According
-/// to the true time, the first two replicas started a minute ago and are warm. The third has just started if
-/// `third_is_listed`; otherwise it isn't listed yet.
+/// Starts three replicas with this service time, and a front node whose wall clock has this offset. By the
+/// wall clock without the offset, the first two replicas started a minute ago and are warm. The third has
+/// just started if `third_is_listed`; otherwise it isn't listed yet.
 fn start_with_clock_offset(
     offset_ms: i64,
     service_time: Duration,
@@ -164,11 +164,11 @@
     config["settings"]["rules"]["cold_share"] = json!(0.1);
     let faults = Faults::new(&format!("realtime={offset_ms}"));
     let front_node = FrontNode::start_with_shell_setup(&faults.shell_setup(), &node_program(), &config);
-    eventually("ready", || front_node.get("/health/ready").0 == 200);
+    eventually("the front node is ready", || front_node.get("/health/ready").0 == 200);
     ClockOffsetDeployment { replicas, addresses, discovery, front_node }
 }
 
-/// Returns list entries in which the third replica has just started, according to the true time.
+/// Returns list entries in which the third replica has just started, by the wall clock without the offset.
 fn entries_with_third_just_started(addresses: &[SocketAddr]) -> Vec<Value> {
     let mut entries = entries_in_one_cell(addresses, wall_ms() - 60_000);
     entries[2]["since_ms"] = json!(wall_ms());
@@ -189,11 +189,11 @@
     });
 }
 
-/// Checks that a replica that started at `started` received in no second more calls than a cold server
-/// withstands.
+/// Checks that a replica that started at `started` received in no second more calls than a server that is
+/// warming up can take without overload.
 ///
-/// According to the settings a server begins with a tenth of a core and is warm after 5 s, and three times
-/// its current capacity overloads it within 1 s.
+/// According to the settings a server begins with a tenth of a core and is warm after 5 s; three times its
+/// current capacity overloads it within 1 s.
 fn assert_not_overloaded(
     replica: &TimestampingServer,
     started: Instant,
@@ -217,12 +217,12 @@
 }
 
 #[test]
-fn warm_servers_are_not_taken_for_cold_when_the_wall_clock_is_behind() {
+fn warm_servers_are_not_treated_as_warming_up_when_the_wall_clock_is_behind() {
     for behind_ms in [5_000, 70_000, 3_600_000] {
         let ClockOffsetDeployment { replicas: _replicas, discovery: _discovery, front_node, .. } =
             start_with_clock_offset(-behind_ms, ms(20), false);
-        // During the first second after its start the front node protects servers that may be cold; after
-        // five seconds all servers are warm, whatever the clocks say.
+        // During the first second after its start the front node protects servers that may be warming up;
+        // after five seconds all servers are warm, by any clock.
         thread::sleep(ms(5200));
         let start = Instant::now();
         let clients: Vec<_> = (0..12)
@@ -234,14 +234,14 @@
         let statuses: Vec<u16> =
             clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect();
         assert_eq!(count(&statuses, 200), 240, "{behind_ms} ms behind: {statuses:?}");
-        // Warm servers need half a second for all parts; if taken for cold, they would receive 14 parts per
-        // second.
+        // Warm servers need half a second for all parts; if they were treated as warming up, they would
+        // receive 14 parts per second.
         assert!(start.elapsed() < ms(3000), "{behind_ms} ms behind: {:?}", start.elapsed());
     }
 }
 
 #[test]
-fn cold_server_is_not_overloaded_when_the_wall_clock_has_an_offset() {
+fn warming_up_server_is_not_overloaded_when_the_wall_clock_has_an_offset() {
     const SERVICE_TIME_MS: u64 = 10;
     for offset_ms in [-3_600_000, -4_000, 4_000, 3_600_000] {
         let deployment = start_with_clock_offset(offset_ms, ms(SERVICE_TIME_MS), false);
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn cold_server_is_not_overloaded_when_the_front_node_starts_with_its_wall_clock_ahead() {
+fn warming_up_server_is_not_overloaded_when_the_front_node_starts_with_its_wall_clock_ahead() {
     const SERVICE_TIME_MS: u64 = 10;
     for offset_ms in [4_000, 3_600_000] {
         let started = Instant::now();
--- a/crates/faultshim/tests/soak.rs
+++ b/crates/faultshim/tests/soak.rs
@@ -1,14 +1,14 @@
 //! A soak test with real processes: several front nodes, six index servers, two discovery services, and
-//! clients of all kinds. System calls of each front node fail, and the wall clock of most has an offset.
-//! Meanwhile up to three disruptions overlap: front nodes are stopped, killed and restarted, reloaded or
-//! suspended; index servers hang, fail, close connections within a frame, or drain; discovery services stop
-//! sending, refuse watches or send lists byte by byte.
+//! clients, some of which misbehave. System calls of each front node fail, and the wall clock of most has an
+//! offset. Meanwhile up to three disruptions overlap: front nodes are stopped, killed and restarted, reloaded
+//! or suspended; index servers hang, fail, close connections within a frame, or drain; discovery services
+//! stop sending, refuse watches or send lists byte by byte.
 //!
 //! The test checks these rules: each request gets one final answer in time. In a class whose queries must not
 //! be executed twice, no part that may have been executed is sent again. Nothing is sent to an index server
-//! that drains, no index server is told more time than the client has left, and none receives a part whose
-//! client has disconnected. Every process that is asked to shut down exits with code 0, the counters agree
-//! with one another, and the counts of the processes' own invariant checks (`violations`) stay at zero.
+//! that drains, no part states more time than its client has left, and no part is sent after its client has
+//! disconnected. Every process that is asked to shut down exits with code 0, the counters agree with one
+//! another, and the counts of the processes' own invariant checks (`violations`) stay at zero.
 //!
 //! A longer run: `SOAK_SEEDS=20..40 SOAK_NODES=30 SOAK_SECONDS=20 cargo test -p pinetrestle-faultshim --test
 //! soak`. The defaults are `1..3`, 8 and 6.
@@ -151,18 +151,18 @@
     }
 
     fn record_violation(&self, description: String) {
-        self.violations.lock().expect("no panic").push(description);
+        self.violations.lock().expect("lock not poisoned").push(description);
     }
 
     /// Builds a query and records it as sent now.
     fn new_query(&self, class: &str) -> (String, String) {
         let Query { id, text } = query(class, &[0, 1, 2], EXPIRES_MS);
         if class == "all" {
-            NOT_REPEATABLE.lock().expect("no panic").insert(id.clone());
+            NOT_REPEATABLE.lock().expect("lock not poisoned").insert(id.clone());
         }
         self.sent
             .lock()
-            .expect("no panic")
+            .expect("lock not poisoned")
             .insert(id.clone(), SentQuery { sent_at: Instant::now(), disconnected_at: None });
         (id, text)
     }
@@ -216,7 +216,7 @@
 
     /// Counts an answer, and checks its time and status.
     fn check_answer(&self, id: &str, node: usize, elapsed: Duration, answer: &Answer) {
-        *self.statuses.lock().expect("no panic").entry(answer.status).or_default() += 1;
+        *self.statuses.lock().expect("lock not poisoned").entry(answer.status).or_default() += 1;
         if elapsed > ANSWER_LIMIT {
             self.record_violation(format!("{id} at front node {node} was answered after {elapsed:?}"));
         }
@@ -229,7 +229,7 @@
     fn connect(&self, random: &mut StdRng) -> Option<Connection> {
         let node = random.random_range(0..self.nodes.len());
         let (address, killed) = {
-            let current = self.nodes[node].lock().expect("no panic");
+            let current = self.nodes[node].lock().expect("lock not poisoned");
             (current.process.address, current.killed.clone())
         };
         let stream = std::net::TcpStream::connect_timeout(&address, ms(500)).ok()?;
@@ -248,7 +248,7 @@
                 client.try_write(text.as_bytes());
                 thread::sleep(ms(random.random_range(0..20)));
                 drop(client);
-                if let Some(sent) = self.sent.lock().expect("no panic").get_mut(&id) {
+                if let Some(sent) = self.sent.lock().expect("lock not poisoned").get_mut(&id) {
                     sent.disconnected_at = Some(Instant::now());
                 }
             }
@@ -267,14 +267,15 @@
         match random.random_range(0..14) {
             0 | 1 => {
                 let replacement = self.start_node(node, random);
-                let old = std::mem::replace(&mut *self.nodes[node].lock().expect("no panic"), replacement);
+                let old =
+                    std::mem::replace(&mut *self.nodes[node].lock().expect("lock not poisoned"), replacement);
                 old.process.terminate();
-                self.terminating.lock().expect("no panic").push(old);
+                self.terminating.lock().expect("lock not poisoned").push(old);
                 Box::new(|| {})
             }
             2 => {
                 let mut replacement = self.start_node(node, random);
-                let mut current = self.nodes[node].lock().expect("no panic");
+                let mut current = self.nodes[node].lock().expect("lock not poisoned");
                 current.killed.store(true, Ordering::Relaxed);
                 self.fault_count.fetch_add(current.faults.count() as u64, Ordering::Relaxed);
                 current.process.kill();
@@ -285,12 +286,12 @@
                 let mut config = self.config(node);
                 config["discovery"] = json!(discovery.address.to_string());
                 config["transport"] = json!({"client_idle_ms": random.random_range(300..3000)});
-                let current = self.nodes[node].lock().expect("no panic");
+                let current = self.nodes[node].lock().expect("lock not poisoned");
                 current.process.reload(Some(&config.to_string()));
                 Box::new(|| {})
             }
             5 => {
-                let current = self.nodes[node].lock().expect("no panic");
+                let current = self.nodes[node].lock().expect("lock not poisoned");
                 current.process.pause();
                 thread::sleep(ms(random.random_range(20..150)));
                 current.process.resume();
@@ -349,9 +350,9 @@
     /// Checks the counters of a process. If they violate a rule, saves its log, which contains the flight
     /// recorder's records.
     fn check_node(&self, name: &str, stats: &Value, process: &FrontNode) {
-        let violations_before = self.violations.lock().expect("no panic").len();
+        let violations_before = self.violations.lock().expect("lock not poisoned").len();
         self.check_counters(name, stats);
-        if self.violations.lock().expect("no panic").len() > violations_before {
+        if self.violations.lock().expect("lock not poisoned").len() > violations_before {
             let path =
                 std::env::temp_dir().join(format!("soak-{}-{}.log", process.pid(), name.replace(", ", "-")));
             let written = std::fs::write(&path, process.log_lines().join("\n"));
@@ -407,7 +408,7 @@
     /// disconnected.
     fn check_received_parts(&self) {
         let mut read_counts: HashMap<String, u64> = HashMap::new();
-        let sent = self.sent.lock().expect("no panic");
+        let sent = self.sent.lock().expect("lock not poisoned");
         let mut parts_of_disconnected = 0;
         for part in self.servers.iter().flat_map(Server::received) {
             let query = part.id.split('.').next().and_then(|id| sent.get(id)).expect("a query that was sent");
@@ -434,7 +435,7 @@
         }
         let part_count = read_counts.values().sum::<u64>();
         println!("{part_count} parts read, {parts_of_disconnected} of them of clients that disconnected");
-        let not_repeatable = NOT_REPEATABLE.lock().expect("no panic");
+        let not_repeatable = NOT_REPEATABLE.lock().expect("lock not poisoned");
         for (id, times) in read_counts.iter().filter(|(_, times)| **times > 1) {
             if id.split('.').next().is_some_and(|query| not_repeatable.contains(query)) {
                 self.record_violation(format!("{id} was read {times} times"));
@@ -492,10 +493,11 @@
         thread::sleep(ms(500));
         soak.finished.store(true, Ordering::Relaxed);
     });
-    let terminating: Vec<FaultyNode> = soak.terminating.lock().expect("no panic").drain(..).collect();
+    let terminating: Vec<FaultyNode> =
+        soak.terminating.lock().expect("lock not poisoned").drain(..).collect();
     terminating.into_iter().for_each(|node| soak.check_exit(node));
     for (index, node) in soak.nodes.iter().enumerate() {
-        let mut node = node.lock().expect("no panic");
+        let mut node = node.lock().expect("lock not poisoned");
         if node.process.is_running() {
             let stats = node.process.stats();
             soak.check_node(&format!("n{index}"), &stats, &node.process);
@@ -507,12 +509,12 @@
     soak.check_received_parts();
     let query_count = soak.query_count.load(Ordering::Relaxed);
     let fault_count = soak.fault_count.load(Ordering::Relaxed);
-    let statuses = soak.statuses.lock().expect("no panic").clone();
+    let statuses = soak.statuses.lock().expect("lock not poisoned").clone();
     println!(
         "seed {seed}: {node_count} front nodes, {query_count} queries, {statuses:?}, \
          {disruption_count} disruptions, {fault_count} faults injected"
     );
-    let violations = soak.violations.lock().expect("no panic");
+    let violations = soak.violations.lock().expect("lock not poisoned");
     assert!(
         violations.is_empty(),
         "seed {seed}: {} violations: {:#?}",
