--- a/crates/member/benches/fleet.rs
+++ b/crates/member/benches/fleet.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns true if no front node of the `members` members is away (out of service).
+/// Returns true if no front node of the `members` members is unavailable.
 fn all_serve(view: &RolloutView, members: u64) -> bool {
     view.nodes.len() as u64 == members && view.nodes.iter().all(|node| !node.unavailable)
 }
@@ -84,10 +84,11 @@
     let during_release = queries.iter().filter(|query| query.started_at_us >= release_us).count();
     let not_200 = queries.iter().filter(|query| query.status != 200).count();
     println!(
-        "{members} members, budget {budget}: {:.1} s; at most {} front nodes away; {during_release} queries \
-         during the release, {not_200} of all {} not 200; p99 {:.1} ms before, {:.1} ms during the release",
+        "{members} members, budget {budget}: {:.1} s; at most {} front nodes unavailable; {during_release} \
+         queries during the release, {not_200} of all {} not 200; p99 {:.1} ms before, {:.1} ms during the \
+         release",
         duration.as_secs_f64(),
-        load.most_unready(release_us),
+        load.max_unready(release_us),
         queries.len(),
         p99_ms(&queries, baseline_us, release_us),
         p99_ms(&queries, release_us, end_us)
@@ -121,8 +122,8 @@
             line.split_whitespace().nth(1).and_then(|word| word.parse::<u64>().ok()).unwrap_or(0)
         };
         let stat = read("stat");
-        // The process name may contain spaces, so fields are counted from the one after it. Clock
-        // ticks last 10 ms.
+        // The process name may contain spaces, so fields are counted from the one after it: fields 11 and
+        // 12 are the user time and the system time, in clock ticks of 10 ms.
         let fields = stat.rsplit(") ").next().unwrap_or_default().to_owned();
         let ticks = |n: usize| fields.split(' ').nth(n).and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
         ProcessUsage {
--- a/crates/member/tests/common/fleet.rs
+++ b/crates/member/tests/common/fleet.rs
@@ -17,7 +17,8 @@
 pub struct FleetSetup {
     /// Number of members; their ids start at 1.
     pub members: u64,
-    /// Number of front nodes that may be away (out of service) at the same time.
+    /// Number of front nodes that may be unavailable (not in service) at the same time. The status report
+    /// calls them "away".
     pub budget: usize,
     /// Whether the members connect to each other through fault proxies or directly.
     pub use_proxies: bool,
@@ -71,6 +72,7 @@
             (0..INDEX_SERVERS).map(|_| Server::start(ServerBehavior::Serving)).collect();
         let discovery = Discovery::start(entries(&servers));
         let reserved = reserve_ports(setup.first_port, 3 * count as usize);
+        // The ports of the members (block 0), of the front nodes (block 1) and of the relays (block 2).
         let addr = |block: u64, id: u64| reserved[(block * count + id - 1) as usize].1;
         let member_addrs: BTreeMap<u64, SocketAddr> = (1..=count).map(|id| (id, addr(0, id))).collect();
         let front_node_addrs: Vec<SocketAddr> = (1..=count).map(|id| addr(1, id)).collect();
@@ -190,7 +192,7 @@
         for id in self.member_addrs.keys() {
             if let Some(status) = self.status(*id).await {
                 let Some(view) = status.rollout.clone() else { continue };
-                if newest.as_ref().is_none_or(|(s, _)| s.applied_index < status.applied_index) {
+                if newest.as_ref().is_none_or(|(best, _)| best.applied_index < status.applied_index) {
                     newest = Some((status, view));
                 }
             }
@@ -279,10 +281,16 @@
         self.member_addrs.keys().map(|id| (*id, count(id))).collect()
     }
 
+    /// Returns the beginning of the environment variable that marks the front nodes of this fleet. The member
+    /// sets it to its data directory, a colon and the version.
+    fn front_node_marker(&self) -> String {
+        let dir = self.dir.canonicalize().unwrap();
+        format!("PINETRESTLE_FRONT={}/data-", dir.display())
+    }
+
     /// Returns the versions of the running front nodes, according to the environments of their processes.
     pub fn running_versions(&self) -> Vec<String> {
-        let dir = self.dir.canonicalize().unwrap();
-        let prefix = format!("PINETRESTLE_FRONT={}/data-", dir.display());
+        let prefix = self.front_node_marker();
         let mut versions = Vec::new();
         for entry in std::fs::read_dir("/proc").unwrap().flatten() {
             let Ok(environ) = std::fs::read(entry.path().join("environ")) else { continue };
@@ -297,8 +305,7 @@
 
     /// Returns the process ids of the running front nodes, found by the environments of all processes.
     pub fn front_node_pids(&self) -> Vec<u32> {
-        let dir = self.dir.canonicalize().unwrap();
-        let prefix = format!("PINETRESTLE_FRONT={}/data-", dir.display());
+        let prefix = self.front_node_marker();
         std::fs::read_dir("/proc")
             .unwrap()
             .flatten()
@@ -321,7 +328,7 @@
     fn drop(&mut self) {
         let ids: Vec<u64> = self.members.keys().copied().collect();
         for id in ids {
-            // A test may have stopped it with SIGSTOP.
+            // A test may have stopped the member with SIGSTOP.
             send_signal(self.members[&id].id(), "-CONT");
             self.kill_member(id);
         }
--- a/crates/member/tests/power_loss.rs
+++ b/crates/member/tests/power_loss.rs
@@ -1,6 +1,6 @@
 //! Recovery from a power loss: seven members and their front nodes are killed at once under load. The members
 //! are started again in random order and after random delays, one of them with its log truncated at a random
-//! byte, and links drop meanwhile.
+//! byte. Meanwhile some links between members are down.
 //!
 //! For each seed the test checks that
 //! - front nodes become ready in waves, with 1, 2, 4 and then all of them ready, and with time between the
@@ -42,14 +42,15 @@
     all_serve_ms: u128,
     /// Time until the first front node is ready.
     first_ready_ms: u64,
-    /// Number of queries sent after the power loss, and of those whose status was not 200.
+    /// Number of queries sent after the power loss.
     queries_after_loss: usize,
+    /// Number of the queries sent after the power loss whose status was not 200.
     not_200_after_loss: usize,
     /// Number of bytes truncated from the log of one member.
     truncated_bytes: u64,
 }
 
-/// Returns true if no front node of the seven members is away (out of service).
+/// Returns true if no front node of the seven members is unavailable.
 fn all_serve(view: &RolloutView) -> bool {
     view.nodes.len() == 7 && view.nodes.iter().all(|node| !node.unavailable)
 }
@@ -103,25 +104,26 @@
 }
 
 /// Returns the first time at which at least `count` front nodes were ready, in wall-clock microseconds.
-fn first_time_ready(counts: &[(u64, usize)], count: usize) -> u64 {
-    counts.iter().find(|(_, ready)| *ready >= count).map(|(at_us, _)| *at_us).unwrap()
+fn first_time_ready(ready_counts: &[(u64, usize)], count: usize) -> u64 {
+    ready_counts.iter().find(|(_, ready)| *ready >= count).map(|(at_us, _)| *at_us).unwrap()
 }
 
 /// Checks that front nodes became ready in waves. After the first three waves 1, 2 and 4 front nodes are
 /// ready, so the second, third and fifth front node each have to wait until a wave has ended. Each time at
-/// least half of [`WAVE_MS`], less the slack, has to pass.
+/// least half of [`WAVE_MS`], less the slack, has to pass. `ready_counts` has the number of ready front nodes
+/// after each change, with the time of the change.
 ///
 /// If the machine's disk stalls, the front nodes of one wave may become ready late, together with those of
 /// the next wave, so the time of stalls is added to the slack.
-fn check_waves(seed: u64, counts: &[(u64, usize)], power_restored_us: u64, fleet: &Fleet) {
+fn check_waves(seed: u64, ready_counts: &[(u64, usize)], power_restored_us: u64, fleet: &Fleet) {
     for (fewer, more) in [(1, 2), (2, 3), (4, 5)] {
-        let more_ready_us = first_time_ready(counts, more);
-        let gap_us = more_ready_us - first_time_ready(counts, fewer);
+        let more_ready_us = first_time_ready(ready_counts, more);
+        let gap_us = more_ready_us - first_time_ready(ready_counts, fewer);
         let slack_us =
             OBSERVATION_SLACK_US + 1_000 * disk_stalls::stalled_ms(power_restored_us, more_ready_us);
         assert!(
             gap_us + slack_us >= WAVE_MS * 1_000 / 2,
-            "seed {seed}: {more} front nodes ready {gap_us} µs after {fewer}: {counts:?}\n{}",
+            "seed {seed}: {more} front nodes ready {gap_us} µs after {fewer}: {ready_counts:?}\n{}",
             fleet.log_tails()
         );
     }
@@ -176,20 +178,20 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     load.stop();
 
-    let counts = load.ready_counts(power_restored_us);
-    check_waves(seed, &counts, power_restored_us, &fleet);
+    let ready_counts = load.ready_counts(power_restored_us);
+    check_waves(seed, &ready_counts, power_restored_us, &fleet);
     let queries = load.queries();
     let answered_twice: Vec<_> = queries.iter().filter(|query| query.excess_bytes > 0).collect();
     assert!(answered_twice.is_empty(), "seed {seed}: queries answered twice: {answered_twice:?}");
-    // Queries that were open when the power was lost get no answer. All that were sent 100 ms after the loss
-    // or later get one.
+    // Queries that were in flight when the power was lost get no answer. All that were sent 100 ms after the
+    // loss or later get one.
     let after_loss: Vec<_> =
         queries.iter().filter(|query| query.started_at_us > power_lost_us + 100_000).collect();
     let unanswered: Vec<_> = after_loss.iter().filter(|query| query.status == 0).collect();
     assert!(unanswered.is_empty(), "seed {seed}: queries unanswered: {unanswered:?}");
     Report {
         all_serve_ms,
-        first_ready_ms: (first_time_ready(&counts, 1) - power_restored_us) / 1_000,
+        first_ready_ms: (first_time_ready(&ready_counts, 1) - power_restored_us) / 1_000,
         queries_after_loss: after_loss.len(),
         not_200_after_loss: after_loss.iter().filter(|query| query.status != 200).count(),
         truncated_bytes,
--- a/crates/member/tests/rollout_faults.rs
+++ b/crates/member/tests/rollout_faults.rs
@@ -7,7 +7,7 @@
 //! is rolled back halfway.
 //!
 //! For each seed the test checks from outside the processes that
-//! - no more front nodes than the budget are away (out of service) at the same time,
+//! - no more front nodes than the budget are unavailable (not in service) at the same time,
 //! - no query is left unanswered or answered twice,
 //! - no step (the replacement of one front node) begins during the halt, and none is repeated or skipped,
 //! - in the end all front nodes run the new version, or all of them the old one.
@@ -27,14 +27,15 @@
 use std::time::{Duration, Instant};
 
 const MEMBERS: u64 = 7;
-/// Number of front nodes that may be away at the same time, for even seeds; for odd seeds it is 1.
+/// Number of front nodes that may be unavailable at the same time, for even seeds; for odd seeds it is 1.
 const BUDGET: usize = 2;
 /// Number of seeds, unless the environment variable `PINETRESTLE_ROLLOUT_SEEDS` sets it.
 const SEEDS: u64 = 3;
 /// Number of seeds that run at the same time.
 const SEEDS_AT_ONCE: u64 = 3;
-/// The index server that the drain test drains, and its index in the fleet.
+/// Name of the index server that the drain test drains.
 const DRAINED_SERVER: &str = "s0";
+/// Index of that server in [`Fleet::servers`].
 const DRAINED_SERVER_INDEX: usize = 0;
 
 fn fleet_setup(seed: u64, budget: usize) -> FleetSetup {
@@ -59,13 +60,17 @@
     halt_to_idle_ms: u128,
     /// Time from the first rollback command to the end of the second rollback.
     rollback_ms: u128,
-    /// Number of queries, and of those whose status was not 200.
+    /// Number of queries.
     queries: usize,
+    /// Number of queries whose status was not 200.
     not_200: usize,
-    /// The largest number of front nodes that were away at the same time.
-    max_away: usize,
-    /// The 99th percentile of the latency before the release, and during it.
+    /// The largest number of front nodes that were unavailable at the same time.
+    // The printed report keeps its key.
+    #[serde(rename = "max_away")]
+    max_unavailable: usize,
+    /// The 99th percentile of the latency before the release.
     baseline_p99_ms: f64,
+    /// The 99th percentile of the latency during the release.
     release_p99_ms: f64,
     /// How many times a client sent no query because no front node was ready.
     rounds_without_ready_node: u64,
@@ -81,12 +86,12 @@
     view.release.as_ref().is_some_and(|release| release.id == id && release.stage == stage)
 }
 
-/// Returns true if no front node of the seven members is away.
+/// Returns true if no front node of the seven members is unavailable.
 fn all_serve(view: &RolloutView) -> bool {
     view.nodes.len() == 7 && view.nodes.iter().all(|node| !node.unavailable)
 }
 
-/// Returns true if no front node holds a slot, the right to be away for its step.
+/// Returns true if no front node holds a slot, the right to be unavailable for its step.
 fn no_slots(view: &RolloutView) -> bool {
     view.nodes.iter().all(|node| node.slot.is_none())
 }
@@ -225,15 +230,18 @@
     let queries = load.queries();
     let bad: Vec<_> = queries.iter().filter(|query| query.status == 0 || query.excess_bytes > 0).collect();
     assert!(bad.is_empty(), "seed {seed}: queries unanswered or answered twice: {bad:?}");
-    let max_away = load.most_unready(release_us);
-    assert!(max_away <= budget, "seed {seed}: {max_away} front nodes away, {budget} allowed");
+    let max_unavailable = load.max_unready(release_us);
+    assert!(
+        max_unavailable <= budget,
+        "seed {seed}: {max_unavailable} front nodes unavailable, {budget} allowed"
+    );
     Report {
         release_ms,
         halt_to_idle_ms: halt_to_idle.as_millis(),
         rollback_ms,
         queries: queries.len(),
         not_200: queries.iter().filter(|query| query.status != 200).count(),
-        max_away,
+        max_unavailable,
         baseline_p99_ms: p99_ms(&queries, baseline_us, release_us),
         release_p99_ms: p99_ms(&queries, release_us, release_end_us),
         rounds_without_ready_node: load.rounds_without_ready_node() - rounds_before,
@@ -252,7 +260,8 @@
     }
 }
 
-/// Returns the number of relays, one for each front node, whose endpoint list has the drained server as up.
+/// Returns the number of relays, one for each front node, whose endpoint list has the drained server with the
+/// status `up`.
 fn relays_listing_drained_server_up(fleet: &Fleet) -> usize {
     let count_up = |relay: &SocketAddr| {
         let list = Client::connect(*relay)
@@ -269,7 +278,8 @@
     view.servers.iter().any(|server| server.name == DRAINED_SERVER && server.phase.starts_with(phase))
 }
 
-/// Checks that `server` can't be drained because another index server is away already and the budget is one.
+/// Checks that `server` can't be drained because another index server is already
+/// unavailable and the budget is one.
 fn assert_budget_is_used(fleet: &Fleet, server: &str, id: &str, member: u64) {
     let (code, output) = fleet.run_command(&["drain", server, "--id", id], member);
     assert!(code == Some(3) && output.contains("1 away of 1 allowed"), "{output}");
@@ -316,7 +326,7 @@
 }
 
 /// Returns the drained server to service and checks the ramp: in the first stage at most half of the front
-/// nodes send to it, in the end all of them.
+/// nodes (rounded up: four of seven) send to it, in the end all of them.
 async fn return_in_stages(fleet: &Fleet) {
     fleet.run_command_with_retries(&["return", DRAINED_SERVER, "--id", "d3"], 5);
     let started = Instant::now();
--- a/crates/standins/src/addresses.rs
+++ b/crates/standins/src/addresses.rs
@@ -12,7 +12,7 @@
 
 /// Accept backlog of a stand-in at a formerly reserved address, in connections.
 const BACKLOG: i32 = 128;
-/// Connect timeout after which the accept queue of a [`PendingAddress`] is taken to be full.
+/// Connect timeout after which the accept queue of a [`PendingAddress`] is considered full.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Binds a socket to a loopback port chosen by the kernel; returns the socket and its address.
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -57,7 +57,7 @@
 /// State shared by the service and all its watches.
 struct State {
     behavior: DiscoveryBehavior,
-    /// Version of the list.
+    /// Version of the list; lists contain it as `index`.
     index: u64,
     entries: Vec<Value>,
     /// Watch requests received so far.
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,5 +1,5 @@
 //! A load balancer in front of several front nodes, with its clients: it checks the health of each front node
-//! and sends a steady load of queries to those that are ready. The records tell whether each query got
+//! and sends a steady load of queries to those that are ready. Its records show whether each query got
 //! exactly one answer.
 
 use crate::clients::query;
@@ -221,7 +221,7 @@
 
     /// Returns the number of front nodes that are ready.
     pub fn ready_count(&self) -> usize {
-        self.shared.lock().expect("lock not poisoned").ready.iter().filter(|r| **r).count()
+        self.shared.lock().expect("lock not poisoned").ready.iter().filter(|is_ready| **is_ready).count()
     }
 
     /// Returns true if the front node with this index is ready.
@@ -260,20 +260,20 @@
     /// Returns the largest number of front nodes that were not ready at the same time since `from_us`, a
     /// wall-clock time in microseconds since the Unix epoch. All front nodes must be ready at `from_us`. A
     /// front node that was never ready isn't counted.
-    pub fn most_unready(&self, from_us: u64) -> usize {
+    pub fn max_unready(&self, from_us: u64) -> usize {
         let shared = self.shared.lock().expect("lock not poisoned");
         let mut unready = BTreeSet::new();
-        let mut most = 0;
+        let mut max_unready = 0;
         for (at, node, health) in &shared.changes {
             match health {
                 Health::Ready => unready.remove(node),
                 Health::Unready => unready.insert(*node),
             };
             if *at >= from_us {
-                most = most.max(unready.len());
+                max_unready = max_unready.max(unready.len());
             }
         }
-        most
+        max_unready
     }
 
     /// Stops the load and waits for its threads; no query is in flight afterwards.
--- a/crates/standins/src/server_behavior.rs
+++ b/crates/standins/src/server_behavior.rs
@@ -4,6 +4,8 @@
 use crate::shared::frame;
 use std::time::Duration;
 
+/// Type of a frame with the answer to a part, as the first byte of its body.
+pub(crate) const ANSWER_FRAME: u8 = b'5';
 /// Number of bytes that are left out at the end of an incomplete answer.
 const MISSING_BYTES: usize = 3;
 /// Number of invalid bytes that follow an answer under [`ServerBehavior::AppendingGarbage`].
@@ -101,7 +103,7 @@
             }
             ServerBehavior::Trickling => Action::Trickle,
             ServerBehavior::SendingInvalidFrame => Action::Send(b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec()),
-            ServerBehavior::AnsweringUnknownPart => Action::Send(frame(b'5', b"nobody.1 S 1 -\nv")),
+            ServerBehavior::AnsweringUnknownPart => Action::Send(frame(ANSWER_FRAME, b"nobody.1 S 1 -\nv")),
         }
     }
 }
@@ -123,6 +125,8 @@
     bytes
 }
 
+/// Encodes an answer frame. Its content is a line of part id, status, score (here the shard number) and load
+/// report (`-`: none), followed by the value.
 fn answer(part: &ReceivedPart, status: &str, value: &str) -> Vec<u8> {
-    frame(b'5', format!("{} {status} {} -\n{value}", part.id, part.shard).as_bytes())
+    frame(ANSWER_FRAME, format!("{} {status} {} -\n{value}", part.id, part.shard).as_bytes())
 }
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -1,7 +1,7 @@
 //! An index server that answers immediately, late, incorrectly or not at all.
 
 use crate::received_part::{parse_parts, ReceivedPart};
-use crate::server_behavior::{Action, ServerBehavior};
+use crate::server_behavior::{Action, ServerBehavior, ANSWER_FRAME};
 use socket2::SockRef;
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,6 +12,11 @@
 /// Pause between two bytes of an answer under [`ServerBehavior::Trickling`].
 const TRICKLE_PAUSE: Duration = Duration::from_millis(20);
 
+/// Type of a frame with a call, as the first byte of its body.
+const CALL_FRAME: u8 = b'1';
+/// Type of a frame that cancels a part.
+const CANCEL_FRAME: u8 = b'2';
+
 /// State shared by all connections of an index server.
 struct State {
     behavior: ServerBehavior,
@@ -117,12 +122,12 @@
     fn serve(mut self) -> Option<()> {
         loop {
             let body = self.read_frame()?;
-            if body[0] == b'2' {
+            if body[0] == CANCEL_FRAME {
                 let id = String::from_utf8(body[1..].to_vec()).expect("a UTF-8 part id");
                 self.state.lock().expect("lock not poisoned").cancelled.push(id);
                 continue;
             }
-            assert_eq!(body[0], b'1');
+            assert_eq!(body[0], CALL_FRAME);
             let parts = parse_parts(&body[1..]);
             let behavior = {
                 let mut state = self.state.lock().expect("lock not poisoned");
@@ -190,7 +195,7 @@
     /// Begins a frame of 32 KiB and sends it byte by byte until the front node closes the connection.
     fn trickle(&self) -> Option<()> {
         let mut writer = self.writer.lock().expect("lock not poisoned");
-        writer.write_all(&[0, 0, 0x80, 0, b'5']).ok()?;
+        writer.write_all(&[0, 0, 0x80, 0, ANSWER_FRAME]).ok()?;
         loop {
             writer.write_all(b"x").ok()?;
             thread::sleep(TRICKLE_PAUSE);
