--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -25,13 +25,13 @@
     for _ in 0..3 {
         assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).text).status, 200);
     }
-    assert!(deployment.program.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
+    assert!(deployment.front_node.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
     eventually("the longest idle connections were evicted", || {
-        deployment.program.close_reasons("client").iter().any(|reason| reason == "made_room")
+        deployment.front_node.close_reasons("client").iter().any(|reason| reason == "made_room")
     });
     assert!(flood.first_mut().expect("one").is_closed());
-    assert!(deployment.program.is_running());
-    assert_eq!(deployment.program.stats()["connections"]["accept_failed"], 0);
+    assert!(deployment.front_node.is_running());
+    assert_eq!(deployment.front_node.stats()["connections"]["accept_failed"], 0);
 }
 
 #[test]
@@ -40,11 +40,11 @@
     let discovery = Discovery::start(entries(&servers));
     let config =
         config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
-    let program = FrontNode::start_with_shell_setup("ulimit -n 72", NODE, &config);
-    let _flood: Vec<Client> = (0..100).map(|_| Client::connect(program.address)).collect();
-    let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).text);
+    let front_node = FrontNode::start_with_shell_setup("ulimit -n 72", NODE, &config);
+    let _flood: Vec<Client> = (0..100).map(|_| Client::connect(front_node.address)).collect();
+    let answer = Client::connect(front_node.address).send(&query("all", &[0, 1, 2], 2000).text);
     assert_eq!(answer.status, 200, "{answer:?}");
-    let stats = program.stats();
+    let stats = front_node.stats();
     assert_eq!(
         (&stats["connections"]["accept_failed"], &stats["connections"]["servers_failed"]),
         (&json!(0), &json!(0))
@@ -62,7 +62,7 @@
     assert_eq!(slow_client.read().status, 408);
     assert!(slow_client.is_closed());
     eventually("the close is logged", || {
-        deployment.program.close_reasons("client").contains(&"request_timeout".to_owned())
+        deployment.front_node.close_reasons("client").contains(&"request_timeout".to_owned())
     });
 }
 
@@ -77,10 +77,10 @@
         client.write(incomplete_request.as_bytes());
     }
     eventually("all bodies are read", || {
-        deployment.program.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
+        deployment.front_node.stats()["connections"]["client_bytes_in"].as_u64() >= Some(300 * 60_000)
     });
     assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).text).status, 200);
-    let peak = deployment.program.peak_memory_kb();
+    let peak = deployment.front_node.peak_memory_kb();
     assert!(peak < 64 * 1024, "peak memory of {peak} kB for 18 MB of bodies");
 }
 
@@ -93,7 +93,7 @@
     // The responses to these requests exceed the socket buffers of the kernel, so writing them blocks.
     client.write("GET /stats HTTP/1.1\r\n\r\n".repeat(8000).as_bytes());
     eventually("the close is logged", || {
-        deployment.program.close_reasons("client").contains(&"write_stalled".to_owned())
+        deployment.front_node.close_reasons("client").contains(&"write_stalled".to_owned())
     });
     assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
 }
@@ -105,14 +105,14 @@
     let discovery = Discovery::start(entries(&servers));
     let config =
         config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
-    let program = pinetrestle_standins::FrontNodeWithUnreadLog::start(NODE, &config);
+    let front_node = pinetrestle_standins::FrontNodeWithUnreadLog::start(NODE, &config);
     // Each connection logs a line of more than 100 bytes, and the pipe holds 64 KiB: 2500 connections
     // overfill it.
     for _ in 0..2500 {
-        Client::connect(program.address).send("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
+        Client::connect(front_node.address).send("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
     }
-    let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).text);
+    let answer = Client::connect(front_node.address).send(&query("all", &[0, 1, 2], 2000).text);
     assert_eq!(answer.status, 200);
-    let stats = Client::connect(program.address).send("GET /stats HTTP/1.1\r\n\r\n").json();
+    let stats = Client::connect(front_node.address).send("GET /stats HTTP/1.1\r\n\r\n").json();
     assert_eq!(stats["connections"]["requests"].as_u64(), Some(2502));
 }
--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -139,12 +139,12 @@
             config["transport"] = serde_json::json!({"connect_ms": 5000});
             config["settings"]["permissions"]["cancel"] = may_cancel.into();
             config["settings"]["classes"][1]["aim"] = 2_900_000.into();
-            let program = FrontNode::start_ready(NODE, &config);
-            let mut client = Client::connect(program.address);
+            let front_node = FrontNode::start_ready(NODE, &config);
+            let mut client = Client::connect(front_node.address);
             client.write(query("all", &[0, 1, 2], 2900).text.as_bytes());
-            eventually("the query is admitted", || program.stats()["attempts"]["out"] == 3);
+            eventually("the query is admitted", || front_node.stats()["attempts"]["out"] == 3);
             let half_closed = disconnect(client, kind);
-            eventually("the client is counted as gone", || program.stats()["queries"]["all"]["gone"] == 1);
+            eventually("the client is counted as gone", || front_node.stats()["queries"]["all"]["gone"] == 1);
             let servers: Vec<Server> =
                 pending.into_iter().map(|pending| pending.start_server(ServerBehavior::Serving)).collect();
             // The first accepted connection is the one with which the stand-in filled the listen queue.
@@ -153,7 +153,7 @@
             thread::sleep(ms(150));
             let received: usize = servers.iter().map(|server| server.received().len()).sum();
             assert_eq!(received, 0, "{kind:?}, may cancel: {may_cancel}");
-            eventually("no attempt is in flight", || program.stats()["attempts"]["out"] == 0);
+            eventually("no attempt is in flight", || front_node.stats()["attempts"]["out"] == 0);
             drop(half_closed);
         }
     }
--- a/crates/node/tests/common/deployment.rs
+++ b/crates/node/tests/common/deployment.rs
@@ -18,7 +18,7 @@
 pub struct Deployment {
     pub servers: Vec<Server>,
     pub discovery: Discovery,
-    pub program: FrontNode,
+    pub front_node: FrontNode,
 }
 
 impl Deployment {
@@ -27,7 +27,7 @@
     pub fn with_config(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> Deployment {
         let pinetrestle_standins::SmallDeployment { servers, discovery, front_node } =
             pinetrestle_standins::SmallDeployment::start(NODE, behavior, change);
-        Deployment { servers, discovery, program: front_node }
+        Deployment { servers, discovery, front_node }
     }
 
     /// Starts index servers with this behavior and a front node with the default configuration.
@@ -37,7 +37,7 @@
 
     /// Opens a connection to the front node.
     pub fn client(&self) -> Client {
-        Client::connect(self.program.address)
+        Client::connect(self.front_node.address)
     }
 
     /// Sets the behavior of every index server from now on.
@@ -47,7 +47,7 @@
 
     /// Changes the endpoint list and waits until the front node has applied it.
     pub fn change_endpoint_list(&self, entries: Vec<Value>) {
-        let lists_received = || self.program.stats()["discovery"]["lists"].as_u64();
+        let lists_received = || self.front_node.stats()["discovery"]["lists"].as_u64();
         eventually("a watch is open", || lists_received() >= Some(1));
         let before = lists_received();
         self.discovery.set_entries(entries);
@@ -77,11 +77,11 @@
     /// flight are `held` and `out`.
     pub fn checked_stats(&self) -> Value {
         eventually("no query or attempt is in flight", || {
-            let stats = self.program.stats();
+            let stats = self.front_node.stats();
             let mut classes = stats["queries"].as_object().expect("classes").values();
             classes.all(|class| class["held"] == 0) && stats["attempts"]["out"] == 0
         });
-        let stats = self.program.stats();
+        let stats = self.front_node.stats();
         let sum = |counters: &Value, keys: &[&str]| {
             keys.iter().map(|key| counters[key].as_u64().expect("a count")).sum::<u64>()
         };
--- a/crates/node/tests/deployment_isolation.rs
+++ b/crates/node/tests/deployment_isolation.rs
@@ -16,7 +16,7 @@
 struct Deployment {
     servers: Vec<Server>,
     _discovery: Discovery,
-    program: FrontNode,
+    front_node: FrontNode,
     config: Value,
 }
 
@@ -28,15 +28,17 @@
         let known = endpoint_list(1, &entries(&servers));
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
         change(&mut config);
-        let program = FrontNode::start(&format!("{NODE} {arguments}"), &config);
-        let deployment = Deployment { servers, _discovery: discovery, program, config };
-        eventually("the front node serves", || deployment.program.count_log_lines(&["msg=\"serving\""]) == 1);
+        let front_node = FrontNode::start(&format!("{NODE} {arguments}"), &config);
+        let deployment = Deployment { servers, _discovery: discovery, front_node, config };
+        eventually("the front node serves", || {
+            deployment.front_node.count_log_lines(&["msg=\"serving\""]) == 1
+        });
         deployment
     }
 
     /// Sends a request and returns the status and the body of the response.
     fn send(&self, text: &str) -> (u16, Value) {
-        let answer = Client::connect(self.program.address).send(text);
+        let answer = Client::connect(self.front_node.address).send(text);
         (answer.status, answer.json())
     }
 }
@@ -83,11 +85,11 @@
     );
     assert!(started.elapsed().as_millis() < 900, "the deadline of the class is 0.7 s");
     assert_eq!(first.send(&query("all", &[1], 1500).text).0, 503);
-    let output = second.program.get("/stats").1 + &second.program.log_lines().join("\n");
+    let output = second.front_node.get("/stats").1 + &second.front_node.log_lines().join("\n");
     for word in ["\"any\"", "\"all\"", "\"steps\"", "node=n0"] {
         assert!(!output.contains(word), "{word} appears in the second deployment");
     }
-    let output = first.program.get("/stats").1 + &first.program.log_lines().join("\n");
+    let output = first.front_node.get("/stats").1 + &first.front_node.log_lines().join("\n");
     for word in ["berth", "manifest", "customs", "harbour-7"] {
         assert!(!output.contains(word), "{word} appears in the first deployment");
     }
@@ -102,18 +104,18 @@
         assert_eq!(deployment.send(&second_query("manifest", &[0])).1["reason"], "unknown_class");
     };
     // The unchanged file of the second deployment is rejected for its name, which a reload cannot change.
-    first.program.reload(Some(&second.config.to_string()));
+    first.front_node.reload(Some(&second.config.to_string()));
     eventually("the configuration is rejected", || {
-        first.program.count_log_lines(&["msg=\"configuration rejected\"", "key=name"]) == 1
+        first.front_node.count_log_lines(&["msg=\"configuration rejected\"", "key=name"]) == 1
     });
     assert_unchanged(&first);
     // The same file with the first deployment's name: its settings take effect only after a restart, so none
     // of them may be used before.
     let mut mixed = second.config.clone();
     mixed["name"] = first.config["name"].clone();
-    first.program.reload(Some(&mixed.to_string()));
+    first.front_node.reload(Some(&mixed.to_string()));
     eventually("everything but the settings is applied", || {
-        first.program.count_log_lines(&["msg=\"configuration reloaded\"", "needs_restart=settings"]) == 1
+        first.front_node.count_log_lines(&["msg=\"configuration reloaded\"", "needs_restart=settings"]) == 1
     });
     assert_unchanged(&first);
     // The address of discovery did take effect: parts go to the servers that the second deployment's
@@ -154,8 +156,8 @@
             config["settings"]["classes"][class]["effect"] = json!("any");
         }
     });
-    eventually("ready, at the renamed path", || deployment.program.get("/in").0 == 200);
-    assert_eq!(deployment.program.get("/health/ready").0, 404);
+    eventually("ready, at the renamed path", || deployment.front_node.get("/in").0 == 200);
+    assert_eq!(deployment.front_node.get("/health/ready").0, 404);
     let with_renamed_fields = |text: &str| {
         let pairs = [
             ("X-Trace-Id", "Trip-Id"),
@@ -183,9 +185,9 @@
         "the default names are unknown to this front node"
     );
     // A reloaded file is read with the same names of settings.
-    deployment.program.reload(Some(&deployment.config.to_string()));
+    deployment.front_node.reload(Some(&deployment.config.to_string()));
     eventually("the configuration is reloaded", || {
-        deployment.program.count_log_lines(&["msg=\"configuration reloaded\""]) == 1
+        deployment.front_node.count_log_lines(&["msg=\"configuration reloaded\""]) == 1
     });
 }
 
--- a/crates/node/tests/discovery_faults.rs
+++ b/crates/node/tests/discovery_faults.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_lost_watch_is_reopened_and_malformed_lists_change_nothing() {
     let deployment = Deployment::new(&ServerBehavior::Serving);
-    eventually("a watch is open", || deployment.program.stats()["discovery"]["lists"].as_u64() >= Some(1));
+    eventually("a watch is open", || deployment.front_node.stats()["discovery"]["lists"].as_u64() >= Some(1));
     for behavior in [DiscoveryBehavior::Unavailable, DiscoveryBehavior::InvalidLines] {
         let before = deployment.discovery.watch_count();
         deployment.discovery.set_behavior(behavior);
@@ -28,12 +28,12 @@
         );
     }
     deployment.discovery.set_behavior(DiscoveryBehavior::Serving);
-    let lists = deployment.program.stats()["discovery"]["lists"].as_u64();
+    let lists = deployment.front_node.stats()["discovery"]["lists"].as_u64();
     eventually("a watch receives a list again", || {
-        deployment.program.stats()["discovery"]["lists"].as_u64() > lists
+        deployment.front_node.stats()["discovery"]["lists"].as_u64() > lists
     });
     for reason in ["ended_by_peer", "status", "bad_list"] {
-        eventually(reason, || deployment.program.close_reasons("discovery").contains(&reason.to_owned()));
+        eventually(reason, || deployment.front_node.close_reasons("discovery").contains(&reason.to_owned()));
     }
 }
 
@@ -45,11 +45,11 @@
     let mut config =
         config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries(&servers)));
     config["transport"] = json!({"discovery_answer_ms": 150});
-    let program = FrontNode::start_ready(NODE, &config);
+    let front_node = FrontNode::start_ready(NODE, &config);
     // A second call is opened beside the first, and a third when both have timed out.
     eventually("the watch times out and is opened again", || discovery.watch_count() >= 3);
     eventually("the close is logged", || {
-        program.close_reasons("discovery").contains(&"no_answer".to_owned())
+        front_node.close_reasons("discovery").contains(&"no_answer".to_owned())
     });
 }
 
@@ -58,13 +58,13 @@
     let servers: Vec<Server> = (0..3).map(|_| Server::start(ServerBehavior::Serving)).collect();
     let discovery = Discovery::start(entries(&servers));
     discovery.set_behavior(DiscoveryBehavior::Unavailable);
-    let program = FrontNode::start(
+    let front_node = FrontNode::start(
         NODE,
         &config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[])),
     );
-    assert_eq!(program.get("/health/live").0, 200);
-    assert_eq!(program.get("/health/ready").0, 503);
+    assert_eq!(front_node.get("/health/live").0, 200);
+    assert_eq!(front_node.get("/health/ready").0, 503);
     discovery.set_behavior(DiscoveryBehavior::Serving);
-    eventually("ready", || program.get("/health/ready").0 == 200);
-    assert_eq!(Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).text).status, 200);
+    eventually("ready", || front_node.get("/health/ready").0 == 200);
+    assert_eq!(Client::connect(front_node.address).send(&query("all", &[0, 1, 2], 2000).text).status, 200);
 }
--- a/crates/node/tests/discovery_watches.rs
+++ b/crates/node/tests/discovery_watches.rs
@@ -21,7 +21,7 @@
 struct Deployment {
     servers: Vec<Server>,
     discovery: Discovery,
-    program: FrontNode,
+    front_node: FrontNode,
 }
 
 impl Deployment {
@@ -32,15 +32,15 @@
         let known = endpoint_list(1, &entries(&servers));
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
         config["settings"]["discovery"] = json!(mode);
-        let program = FrontNode::start_ready(NODE, &config);
-        let deployment = Deployment { servers, discovery, program };
+        let front_node = FrontNode::start_ready(NODE, &config);
+        let deployment = Deployment { servers, discovery, front_node };
         eventually("a watch is established", || deployment.lists_received() >= 1);
         deployment
     }
 
     /// Returns the number of endpoint lists received so far.
     fn lists_received(&self) -> u64 {
-        self.program.stats()["discovery"]["lists"].as_u64().expect("a count")
+        self.front_node.stats()["discovery"]["lists"].as_u64().expect("a count")
     }
 
     /// Lists the first server as draining and returns how long the front node took to receive that change.
@@ -54,7 +54,7 @@
         eventually("the change is received", || self.lists_received() > lists_before);
         let latency = changed_at.elapsed();
         let parts_before = self.servers[0].received().len();
-        let mut client = Client::connect(self.program.address);
+        let mut client = Client::connect(self.front_node.address);
         for _ in 0..20 {
             assert_eq!(client.send(&query("all", &[0, 3], 2000).text).status, 200);
         }
@@ -82,7 +82,7 @@
         assert!(latency < CHANGE_DEADLINE, "{fault:?}: {latency:?}");
         // Log lines are buffered before they are written.
         eventually("the failed watch is logged with its reason", || {
-            deployment.program.close_reasons("discovery").contains(&close_reason.to_owned())
+            deployment.front_node.close_reasons("discovery").contains(&close_reason.to_owned())
         });
     });
 }
@@ -142,12 +142,13 @@
 fn a_new_address_that_is_down_is_watched_once_it_is_up_while_the_old_watch_is_healthy() {
     in_both_list_modes(|deployment| {
         let reserved = ReservedAddress::reserve();
-        let text = std::fs::read_to_string(deployment.program.config_file()).expect("the configuration file");
+        let text =
+            std::fs::read_to_string(deployment.front_node.config_file()).expect("the configuration file");
         let mut file: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         file["discovery"] = json!(reserved.address.to_string());
-        deployment.program.reload(Some(&file.to_string()));
+        deployment.front_node.reload(Some(&file.to_string()));
         eventually("the new address is tried", || {
-            deployment.program.count_log_lines(&["side=discovery", "reason=connect_refused"]) >= 2
+            deployment.front_node.count_log_lines(&["side=discovery", "reason=connect_refused"]) >= 2
         });
         // While the old address delivers changes, the decision core has a current list and does not poll.
         deployment.time_to_act_on_a_drain();
@@ -156,7 +157,7 @@
         eventually("the new address is watched", || new_discovery.watch_count() >= 1);
         assert!(up_from.elapsed() < CHANGE_DEADLINE, "{:?}", up_from.elapsed());
         eventually("the old watch is closed", || {
-            deployment.program.close_reasons("discovery").contains(&"asked_anew".into())
+            deployment.front_node.close_reasons("discovery").contains(&"asked_anew".into())
         });
     });
 }
@@ -171,15 +172,15 @@
                 let mut config =
                     config_json("127.0.0.1:0", &reserved.address.to_string(), &endpoint_list(0, &[]));
                 config["settings"]["discovery"] = json!(mode);
-                let program = FrontNode::start(NODE, &config);
+                let front_node = FrontNode::start(NODE, &config);
                 // Discovery stays down until the backoff between calls has grown.
                 eventually("five calls have failed", || {
-                    program.count_log_lines(&["side=discovery", "reason=connect_refused"]) >= 5
+                    front_node.count_log_lines(&["side=discovery", "reason=connect_refused"]) >= 5
                 });
-                assert_eq!(program.get("/health/ready").0, 503, "not ready without a list");
+                assert_eq!(front_node.get("/health/ready").0, 503, "not ready without a list");
                 let _discovery = reserved.start_discovery(entries(&servers));
                 let up_from = Instant::now();
-                eventually("ready", || program.get("/health/ready").0 == 200);
+                eventually("ready", || front_node.get("/health/ready").0 == 200);
                 assert!(up_from.elapsed() < CHANGE_DEADLINE, "{mode}: {:?}", up_from.elapsed());
             });
         }
--- a/crates/node/tests/flight_recorder.rs
+++ b/crates/node/tests/flight_recorder.rs
@@ -14,7 +14,7 @@
 /// A running front node with a flight recorder, a discovery service and three index servers.
 struct Fixture {
     servers: Vec<Server>,
-    program: FrontNode,
+    front_node: FrontNode,
     _discovery: Discovery,
     _file: tempfile::TempPath,
 }
@@ -33,18 +33,18 @@
         let discovery = Discovery::start(entries(&servers));
         let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[]));
         let file = operator_file(recorder);
-        let program = FrontNode::start_ready(&format!("{NODE} --recorder {}", file.display()), &config);
-        Fixture { servers, program, _discovery: discovery, _file: file }
+        let front_node = FrontNode::start_ready(&format!("{NODE} --recorder {}", file.display()), &config);
+        Fixture { servers, front_node, _discovery: discovery, _file: file }
     }
 
     /// Returns the records that the log contains.
     fn records(&self) -> Vec<Record> {
-        log_lines::decode_lines(self.program.log_lines().iter().map(String::as_str)).records
+        log_lines::decode_lines(self.front_node.log_lines().iter().map(String::as_str)).records
     }
 
     /// Returns whether records have been written to the log at this occasion: `signal` or `exit`.
     fn written(&self, at: &str) -> bool {
-        self.program.count_log_lines(&["flight records written", &format!("at={at}")]) > 0
+        self.front_node.count_log_lines(&["flight records written", &format!("at={at}")]) > 0
     }
 }
 
@@ -57,8 +57,8 @@
 fn sigusr1_writes_every_event_of_each_query_to_the_log() {
     let fixture = Fixture::new("{ records: 4096 }");
     let Query { id, text } = query("all", &[0, 1], 2000);
-    assert_eq!(Client::connect(fixture.program.address).send(&text).status, 200);
-    fixture.program.signal("-USR1");
+    assert_eq!(Client::connect(fixture.front_node.address).send(&text).status, 200);
+    fixture.front_node.signal("-USR1");
     eventually("the records are written", || fixture.written("signal"));
     let records = fixture.records();
     let events = events_of_query(&records, &id);
@@ -90,14 +90,14 @@
     let fixture = Fixture::new("{ records: 4096 }");
     fixture.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
     let Query { id, text } = query("all", &[0, 1, 2], 2000);
-    let mut client = Client::connect(fixture.program.address);
+    let mut client = Client::connect(fixture.front_node.address);
     client.write(text.as_bytes());
     eventually("the parts are sent", || fixture.servers.iter().all(|server| server.received().len() == 1));
     drop(client);
     eventually("the attempts are cancelled", || {
         fixture.servers.iter().all(|server| server.cancelled_parts().len() == 1)
     });
-    fixture.program.signal("-USR1");
+    fixture.front_node.signal("-USR1");
     eventually("the records are written", || fixture.written("signal"));
     let events = events_of_query(&fixture.records(), &id);
     let count = |kind| events.iter().filter(|event| **event == kind).count();
@@ -112,7 +112,7 @@
 #[test]
 fn records_are_written_periodically_and_at_exit_if_configured() {
     let mut fixture = Fixture::new("{ records: 64, at_exit: true, follow_ms: 50 }");
-    let mut client = Client::connect(fixture.program.address);
+    let mut client = Client::connect(fixture.front_node.address);
     let ids: Vec<String> = (0..20)
         .map(|_| {
             let Query { id, text } = query("all", &[0], 2000);
@@ -123,8 +123,8 @@
             id
         })
         .collect();
-    fixture.program.terminate();
-    assert_eq!(fixture.program.wait_for_exit(), Some(0));
+    fixture.front_node.terminate();
+    assert_eq!(fixture.front_node.wait_for_exit(), Some(0));
     eventually("the records at exit are written", || fixture.written("exit"));
     let records = fixture.records();
     for id in &ids {
@@ -137,11 +137,11 @@
     let server = Server::start(ServerBehavior::Serving);
     let discovery = Discovery::start(vec![entry("s0", &server.address.to_string(), 0)]);
     let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[]));
-    let mut program = FrontNode::start_ready(NODE, &config);
-    program.signal("-USR1");
-    assert_eq!(program.get("/health/live").0, 200);
-    assert!(program.is_running());
-    assert_eq!(program.count_log_lines(&["flight"]), 0);
+    let mut front_node = FrontNode::start_ready(NODE, &config);
+    front_node.signal("-USR1");
+    assert_eq!(front_node.get("/health/live").0, 200);
+    assert!(front_node.is_running());
+    assert_eq!(front_node.count_log_lines(&["flight"]), 0);
 }
 
 #[test]
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -64,21 +64,21 @@
     let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries));
     config["limits"]["sockets"] = json!(SOCKETS);
     config["settings"]["fleet_size"] = json!(300);
-    let program = FrontNode::start_ready(NODE, &config);
+    let front_node = FrontNode::start_ready(NODE, &config);
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
-            let address = program.address;
+            let address = front_node.address;
             thread::spawn(move || statuses(address))
         })
         .collect();
     let statuses: Vec<u16> =
         clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect();
-    let stats = program.stats();
+    let stats = front_node.stats();
     let count = |key: &str| stats["connections"][key].as_u64().expect("a count");
     Resources {
         queries: statuses.len(),
         served: statuses.iter().filter(|status| **status == 200).count(),
-        peak_kb: program.peak_memory_kb(),
+        peak_kb: front_node.peak_memory_kb(),
         opened: count("servers_begun"),
         rejected_calls: count("servers_none_left"),
         open: count("servers_open"),
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -30,7 +30,7 @@
     assert_eq!(incomplete.read().status, 408);
     assert!(incomplete.is_closed() && started.elapsed() < CLOSE_WITHIN, "{:?}", started.elapsed());
     for reason in ["never_asked", "request_timeout"] {
-        eventually(reason, || deployment.program.close_reasons("client").contains(&reason.to_owned()));
+        eventually(reason, || deployment.front_node.close_reasons("client").contains(&reason.to_owned()));
     }
 }
 
@@ -59,10 +59,19 @@
         assert!(started.elapsed() < CLOSE_WITHIN, "{:?}", started.elapsed());
     }
     eventually("the close is logged", || {
-        deployment.program.close_reasons("client").iter().filter(|reason| *reason == "body_too_long").count()
+        deployment
+            .front_node
+            .close_reasons("client")
+            .iter()
+            .filter(|reason| *reason == "body_too_long")
+            .count()
             == 2
     });
-    assert!(deployment.program.peak_memory_kb() < 32 * 1024, "{} kB", deployment.program.peak_memory_kb());
+    assert!(
+        deployment.front_node.peak_memory_kb() < 32 * 1024,
+        "{} kB",
+        deployment.front_node.peak_memory_kb()
+    );
     deployment.assert_serves();
 }
 
@@ -110,7 +119,7 @@
     assert!(client.is_closed(), "the front node closes the connection after sixteen rejected requests");
     assert_eq!(deployment.parts_received(), 0);
     eventually("the close is logged", || {
-        deployment.program.close_reasons("client").contains(&"too_many_bad".to_owned())
+        deployment.front_node.close_reasons("client").contains(&"too_many_bad".to_owned())
     });
 }
 
@@ -129,7 +138,7 @@
             deployment.assert_serves();
         }
     }
-    let stats = deployment.program.stats();
+    let stats = deployment.front_node.stats();
     assert!(stats["connections"]["clients_open"].as_u64() <= Some(40), "{stats}");
     assert_eq!(
         active.send(&query("all", &[2], 2000).text).status,
@@ -170,11 +179,11 @@
     deployment.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
     let mut client = deployment.client();
     assert_eq!(client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
-    deployment.program.pause();
+    deployment.front_node.pause();
     let started = Instant::now();
     client.write(query("all", &[0], 1500).text.as_bytes());
     thread::sleep(Duration::from_millis(700));
-    deployment.program.resume();
+    deployment.front_node.resume();
     assert_eq!(client.read().status, 503);
     assert!(started.elapsed() < Duration::from_millis(1900), "{:?}", started.elapsed());
 }
@@ -199,9 +208,9 @@
         let answer = client.send(&query("all", &[0], 3000).text);
         assert_eq!(answer.status, 200, "another replica answers: {answer:?}");
         assert!(started.elapsed() < Duration::from_millis(1500), "{:?}", started.elapsed());
-        deployment.program.close_reasons("index_server").contains(&"stalled_within_frame".to_owned())
+        deployment.front_node.close_reasons("index_server").contains(&"stalled_within_frame".to_owned())
     });
-    assert!(deployment.program.stats()["attempts"]["reset"].as_u64() >= Some(1), "the part may have run");
+    assert!(deployment.front_node.stats()["attempts"]["reset"].as_u64() >= Some(1), "the part may have run");
 }
 
 #[test]
@@ -221,7 +230,7 @@
             }
         }
         if behavior == ServerBehavior::AnsweringTwice {
-            let stats = deployment.program.stats();
+            let stats = deployment.front_node.stats();
             assert!(stats["attempts"]["late_answers"].as_u64() >= Some(80), "{stats}");
             assert!(
                 stats["connections"]["servers_begun"].as_u64() <= Some(6),
@@ -249,7 +258,7 @@
         served_in_a_row == 10
     });
     eventually("the close of a silent connection is logged", || {
-        deployment.program.close_reasons("index_server").contains(&"unheard".to_owned())
+        deployment.front_node.close_reasons("index_server").contains(&"unheard".to_owned())
     });
 }
 
@@ -259,7 +268,7 @@
     for _ in 0..10 {
         deployment.assert_serves();
     }
-    let open = || deployment.program.stats()["connections"]["servers_open"].as_u64();
+    let open = || deployment.front_node.stats()["connections"]["servers_open"].as_u64();
     assert!(open() > Some(3));
     deployment.discovery.set_entries(entries(&deployment.servers[..3]));
     eventually("only connections to listed servers stay open", || open() <= Some(3));
--- a/crates/node/tests/multiple_nodes.rs
+++ b/crates/node/tests/multiple_nodes.rs
@@ -59,13 +59,13 @@
         config["settings"]["rules"]["warm_within"] = json!(6_000_000);
         config
     };
-    let mut programs: Vec<FrontNode> =
+    let mut front_nodes: Vec<FrontNode> =
         (0..NODES).map(|node| FrontNode::start_ready(NODE, &config(node))).collect();
     let stops: Vec<AtomicBool> = (0..NODES).map(|_| AtomicBool::new(false)).collect();
     let started = thread::scope(|scope| {
-        for (node, program) in programs.iter().enumerate() {
+        for (node, front_node) in front_nodes.iter().enumerate() {
             // The load is uneven: it falls from four clients at the first node to one at the last.
-            let address = program.address;
+            let address = front_node.address;
             let stop = &stops[node];
             for _ in 0..(NODES - node).div_ceil(2) {
                 scope.spawn(move || generate_load(address, ms(60), stop));
@@ -79,13 +79,13 @@
         // Two nodes are killed and restarted; a restarted node has no state.
         stops[6..].iter().for_each(|stop| stop.store(true, Ordering::Relaxed));
         thread::sleep(ms(200));
-        programs[6..].iter_mut().for_each(FrontNode::kill);
+        front_nodes[6..].iter_mut().for_each(FrontNode::kill);
         let restarted: Vec<FrontNode> =
             (6..NODES).map(|node| FrontNode::start_ready(NODE, &config(node))).collect();
         let stop_restarted = AtomicBool::new(false);
         thread::scope(|scope| {
-            for program in &restarted {
-                scope.spawn(|| generate_load(program.address, ms(30), &stop_restarted));
+            for front_node in &restarted {
+                scope.spawn(|| generate_load(front_node.address, ms(30), &stop_restarted));
             }
             thread::sleep(ms(2500));
             stop_restarted.store(true, Ordering::Relaxed);
@@ -120,7 +120,7 @@
         // most have to wait, and some time out.
         discovery.set_behavior(DiscoveryBehavior::OneAtATime(ms(100)));
         let started = Instant::now();
-        let programs: Vec<FrontNode> = (0..30)
+        let front_nodes: Vec<FrontNode> = (0..30)
             .map(|node| {
                 let mut config =
                     config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[]));
@@ -130,10 +130,10 @@
                 FrontNode::start(NODE, &config)
             })
             .collect();
-        assert_eq!(programs[29].get("/health/ready").0, 503, "not ready without a list of servers");
-        let is_ready = |program: &FrontNode| program.get("/health/ready").0 == 200;
+        assert_eq!(front_nodes[29].get("/health/ready").0, 503, "not ready without a list of servers");
+        let is_ready = |front_node: &FrontNode| front_node.get("/health/ready").0 == 200;
         eventually("27 of 30 nodes are ready", || {
-            programs.iter().filter(|program| is_ready(program)).count() >= 27
+            front_nodes.iter().filter(|front_node| is_ready(front_node)).count() >= 27
         });
         assert!(started.elapsed() < Duration::from_secs(10), "{mode}: {:?}", started.elapsed());
     }
@@ -146,11 +146,12 @@
     draining.iter_mut().for_each(|entry| entry["status"] = json!("draining"));
     let discovery = Discovery::start(draining.clone());
     let known = endpoint_list(1, &draining);
-    let program = FrontNode::start(NODE, &config_json("127.0.0.1:0", &discovery.address.to_string(), &known));
-    eventually("a watch is open", || program.stats()["discovery"]["lists"].as_u64() >= Some(1));
-    assert_eq!(program.get("/health/ready").0, 503);
+    let front_node =
+        FrontNode::start(NODE, &config_json("127.0.0.1:0", &discovery.address.to_string(), &known));
+    eventually("a watch is open", || front_node.stats()["discovery"]["lists"].as_u64() >= Some(1));
+    assert_eq!(front_node.get("/health/ready").0, 503);
     discovery.set_entries(entries(&servers));
-    eventually("ready", || program.get("/health/ready").0 == 200);
+    eventually("ready", || front_node.get("/health/ready").0 == 200);
 }
 
 #[test]
@@ -163,14 +164,14 @@
     let mut config = config_json("127.0.0.1:0", &reserved.address.to_string(), &known);
     config["limits"]["sockets"] = json!(96);
     // The limit of the operating system is as low, so that opening one descriptor too many fails.
-    let program = FrontNode::start_with_shell_setup("ulimit -n 96", NODE, &config);
-    eventually("ready", || program.get("/health/ready").0 == 200);
+    let front_node = FrontNode::start_with_shell_setup("ulimit -n 96", NODE, &config);
+    eventually("ready", || front_node.get("/health/ready").0 == 200);
     let mut idle: Vec<TcpStream> = Vec::new();
     let mut served: Vec<Client> = Vec::new();
     for round in 0..300 {
-        idle.push(TcpStream::connect(program.address).expect("a connection"));
+        idle.push(TcpStream::connect(front_node.address).expect("a connection"));
         if round % 3 == 0 {
-            let mut client = Client::connect(program.address);
+            let mut client = Client::connect(front_node.address);
             // The client sends one query and then stays idle. In this flood it may be evicted before the
             // front node reads the query.
             client.try_write(query("all", &[round % 3], 2000).text.as_bytes());
@@ -180,17 +181,18 @@
         }
     }
     assert!(served.len() > 50, "{} of 100 clients were served in the flood", served.len());
-    let open = std::fs::read_dir(format!("/proc/{}/fd", program.pid())).expect("the program runs").count();
+    let open =
+        std::fs::read_dir(format!("/proc/{}/fd", front_node.pid())).expect("the front node runs").count();
     assert!(open <= 96, "{open} descriptors");
     let discovery = reserved.start_discovery(entries(&servers));
     let discovery_started = Instant::now();
     eventually("discovery is reached", || discovery.watch_count() >= 1);
     assert!(discovery_started.elapsed() < Duration::from_secs(6), "{:?}", discovery_started.elapsed());
     eventually("the list of discovery is used", || {
-        let answer = Client::connect(program.address).send(&query("all", &[0, 1, 2], 2000).text);
+        let answer = Client::connect(front_node.address).send(&query("all", &[0, 1, 2], 2000).text);
         answer.status == 200 && servers[3..].iter().all(|server| !server.received().is_empty())
     });
-    assert_eq!(program.count_log_lines(&["accepting failed"]), 0, "the system limit was never reached");
+    assert_eq!(front_node.count_log_lines(&["accepting failed"]), 0, "the system limit was never reached");
     drop(idle);
 }
 
@@ -227,9 +229,9 @@
     let known = endpoint_list(1, &entries(&servers));
     let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
     config["limits"]["sockets"] = json!(192);
-    let program = FrontNode::start_ready(NODE, &config);
+    let front_node = FrontNode::start_ready(NODE, &config);
     let stop = AtomicBool::new(false);
-    let address = program.address;
+    let address = front_node.address;
     thread::scope(|scope| {
         scope.spawn(|| flood_with_silent_connections(address, &stop));
         scope.spawn(|| flood_with_abandoned_queries(address, &stop));
@@ -316,8 +318,8 @@
     for class in 0..3 {
         config["settings"]["classes"][class]["aim"] = json!(250_000);
     }
-    let program = FrontNode::start_ready(NODE, &config);
-    let address = program.address;
+    let front_node = FrontNode::start_ready(NODE, &config);
+    let address = front_node.address;
     let stop = AtomicBool::new(false);
     let is_served = |client: &mut Client, class: &str, tenant: &str| {
         let text = query(class, &[0, 1, 2], 1000)
@@ -359,7 +361,7 @@
     }
     let rejected: u64 = ["any", "all"]
         .iter()
-        .map(|class| program.stats()["queries"][class]["refused"].as_u64().expect("a count"))
+        .map(|class| front_node.stats()["queries"][class]["refused"].as_u64().expect("a count"))
         .sum();
     assert!(rejected > 100, "the flood is rejected: {rejected} rejections");
 }
--- a/crates/node/tests/query_serving.rs
+++ b/crates/node/tests/query_serving.rs
@@ -127,7 +127,7 @@
     let stats = deployment.checked_stats();
     assert_eq!(stats["queries"]["all"]["gone"], 1);
     eventually("the close is logged", || {
-        deployment.program.close_reasons("client").contains(&"client_gone".to_owned())
+        deployment.front_node.close_reasons("client").contains(&"client_gone".to_owned())
     });
 }
 
@@ -262,7 +262,7 @@
     let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0], 400).text).status, 503);
     eventually("the late answer is counted", || {
-        deployment.program.stats()["attempts"]["late_answers"].as_u64() >= Some(1)
+        deployment.front_node.stats()["attempts"]["late_answers"].as_u64() >= Some(1)
     });
     deployment.set_all_behaviors(&ServerBehavior::Serving);
     let Query { id, text } = query("all", &[0], 2000);
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -14,7 +14,7 @@
     servers: Vec<Server>,
     discovery: Discovery,
     config: Value,
-    program: FrontNode,
+    front_node: FrontNode,
 }
 
 impl Deployment {
@@ -23,10 +23,10 @@
         let discovery = Discovery::start(entries(&servers));
         let known = endpoint_list(1, &entries(&servers));
         let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
-        let program = FrontNode::start_ready(NODE, &config);
-        let deployment = Deployment { servers, discovery, config, program };
+        let front_node = FrontNode::start_ready(NODE, &config);
+        let deployment = Deployment { servers, discovery, config, front_node };
         eventually("a watch is established", || {
-            deployment.program.stats()["discovery"]["lists"].as_u64() >= Some(1)
+            deployment.front_node.stats()["discovery"]["lists"].as_u64() >= Some(1)
         });
         deployment
     }
@@ -39,14 +39,14 @@
     }
 
     fn assert_serves(&self) {
-        let answer = pinetrestle_standins::Client::connect(self.program.address)
+        let answer = pinetrestle_standins::Client::connect(self.front_node.address)
             .send(&query("all", &[0, 1, 2], 2000).text);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
 
     /// Returns the value of a counter of `/stats`.
     fn counter(&self, group: &str, name: &str) -> u64 {
-        self.program.stats()[group][name].as_u64().expect("a count")
+        self.front_node.stats()[group][name].as_u64().expect("a count")
     }
 }
 
@@ -65,12 +65,12 @@
     list.remove(3);
     let other = Discovery::start(list);
     deployment
-        .program
+        .front_node
         .reload(Some(&deployment.config_with(|file| file["discovery"] = json!(other.address.to_string()))));
     eventually("the new discovery is watched", || other.watch_count() == 1);
     eventually("the old watch is closed", || {
         let peer = format!("peer={}", deployment.discovery.address);
-        deployment.program.count_log_lines(&["side=discovery", &peer, "reason=asked_anew"]) == 1
+        deployment.front_node.count_log_lines(&["side=discovery", &peer, "reason=asked_anew"]) == 1
     });
     eventually("the changed list is applied", || {
         deployment.assert_serves();
@@ -95,10 +95,10 @@
     let reserved = ReservedAddress::reserve();
     let address = reserved.address;
     deployment
-        .program
+        .front_node
         .reload(Some(&deployment.config_with(|file| file["discovery"] = json!(address.to_string()))));
     eventually("a call to the new address is refused", || {
-        deployment.program.count_log_lines(&[
+        deployment.front_node.count_log_lines(&[
             "side=discovery",
             &format!("peer={address}"),
             "reason=connect_refused",
@@ -152,12 +152,12 @@
             }
             _ => text,
         });
-        deployment.program.reload(text.as_deref());
+        deployment.front_node.reload(text.as_deref());
         eventually("the file is rejected", || {
             deployment.counter("own", "reloads_refused") == index as u64 + 1
         });
         eventually("the log names the key", || {
-            deployment.program.count_log_lines(&["configuration rejected", key]) > 0
+            deployment.front_node.count_log_lines(&["configuration rejected", key]) > 0
         });
         deployment.assert_serves();
     }
@@ -165,7 +165,7 @@
     assert_eq!(deployment.discovery.watch_count(), 1, "the old watch is still the only one");
     // A valid file still takes effect after all of these.
     deployment
-        .program
+        .front_node
         .reload(Some(&deployment.config_with(|file| file["discovery"] = other_address.clone())));
     eventually("the other discovery is watched", || other.watch_count() == 1);
 }
@@ -173,14 +173,14 @@
 #[test]
 fn keys_that_need_a_restart_are_logged_and_the_rest_takes_effect() {
     let deployment = Deployment::new();
-    let mut idle_client = pinetrestle_standins::Client::connect(deployment.program.address);
+    let mut idle_client = pinetrestle_standins::Client::connect(deployment.front_node.address);
     assert_eq!(idle_client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
-    deployment.program.reload(Some(&deployment.config_with(|file| {
+    deployment.front_node.reload(Some(&deployment.config_with(|file| {
         file["transport"] = json!({"client_idle_ms": 50});
         file["settings"]["permissions"]["try_limit"] = json!(1);
     })));
     eventually("the file is applied except for its settings", || {
-        deployment.program.count_log_lines(&["configuration reloaded", "needs_restart=settings"]) == 1
+        deployment.front_node.count_log_lines(&["configuration reloaded", "needs_restart=settings"]) == 1
     });
     assert_eq!(idle_client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
     let started = Instant::now();
@@ -194,10 +194,10 @@
     let mut deployment = Deployment::new();
     let text = deployment.config_with(|_| {});
     for _ in 0..5 {
-        deployment.program.reload(Some(&text));
+        deployment.front_node.reload(Some(&text));
     }
     eventually("a reload has taken effect", || deployment.counter("own", "reloads") >= 1);
-    deployment.program.terminate();
-    deployment.program.reload(Some(&text));
-    assert_eq!(deployment.program.wait_for_exit(), Some(0), "SIGTERM still causes a graceful shutdown");
+    deployment.front_node.terminate();
+    deployment.front_node.reload(Some(&text));
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0), "SIGTERM still causes a graceful shutdown");
 }
--- a/crates/node/tests/retry_safety.rs
+++ b/crates/node/tests/retry_safety.rs
@@ -24,7 +24,7 @@
 /// A running front node with its discovery service.
 struct Fixture {
     discovery: Discovery,
-    program: FrontNode,
+    front_node: FrontNode,
 }
 
 impl Fixture {
@@ -37,8 +37,8 @@
         config["settings"]["classes"][1]["effect"] = json!(effect);
         config["settings"]["classes"][1]["dedup_window"] = json!(IDEMPOTENCY_WINDOW.as_micros() as u64);
         change(&mut config);
-        let program = FrontNode::start_ready(NODE, &config);
-        let fixture = Fixture { discovery, program };
+        let front_node = FrontNode::start_ready(NODE, &config);
+        let fixture = Fixture { discovery, front_node };
         eventually("a watch is open", || fixture.lists_received() >= 1);
         fixture
     }
@@ -52,12 +52,12 @@
 
     /// Returns the number of endpoint lists received so far.
     fn lists_received(&self) -> u64 {
-        self.program.stats()["discovery"]["lists"].as_u64().expect("a count")
+        self.front_node.stats()["discovery"]["lists"].as_u64().expect("a count")
     }
 
     /// Sends a query of the class `all` for shard 0 with an idempotency key on a new connection.
     fn send_query(&self) -> Client {
-        let mut client = Client::connect(self.program.address);
+        let mut client = Client::connect(self.front_node.address);
         client.write(with_key("0af3", &query("all", &[0], 2900).text).as_bytes());
         client
     }
@@ -159,7 +159,7 @@
     let fixture = Fixture::new("dedup", &[servers[0].address, servers[1].address], |config| {
         config["settings"]["classes"][2]["effect"] = json!("dedup");
     });
-    let mut client = Client::connect(fixture.program.address);
+    let mut client = Client::connect(fixture.front_node.address);
     assert_eq!(
         client.send(&with_key("a2b9acad9eb94871", &query("steps", &[0, 3, 6], 2000).text)).status,
         200
@@ -197,14 +197,14 @@
     let mut client = fixture.send_query();
     assert_eq!(client.read().status, 200);
     for _ in 0..20 {
-        fixture.program.pause();
+        fixture.front_node.pause();
         servers.iter().for_each(Server::close_connections);
         client.write(with_key("0af3", &query("all", &[0], 2900).text).as_bytes());
         thread::sleep(ms(5)); // the close and the query arrive before the front node resumes
-        fixture.program.resume();
+        fixture.front_node.resume();
         assert_eq!(client.read().status, 200);
     }
-    let stats = fixture.program.stats();
+    let stats = fixture.front_node.stats();
     assert_eq!(stats["attempts"]["reset"], 0, "{stats}");
 }
 
@@ -249,7 +249,7 @@
     eventually("the retry is queued", || {
         waiting.push(fixture.send_query());
         thread::sleep(ms(120));
-        let stats = fixture.program.stats();
+        let stats = fixture.front_node.stats();
         stats["attempts"]["reset"].as_u64() >= Some(1) && stats["attempts"]["further"].as_u64() >= Some(1)
     });
     let retried: Vec<String> = resetting.received().into_iter().map(|part| part.id).collect();
@@ -263,7 +263,7 @@
     }
     assert!(!retried.is_empty());
     eventually("the retry is counted as never sent", || {
-        fixture.program.stats()["attempts"]["moot"].as_u64() >= Some(1)
+        fixture.front_node.stats()["attempts"]["moot"].as_u64() >= Some(1)
     });
     // The query of that part fails, because the part may have run.
     assert!(waiting.iter_mut().any(|client| client.read().status == 500));
@@ -278,7 +278,7 @@
     });
     let started = Instant::now();
     let mut client = fixture.send_query();
-    eventually("the part is queued", || fixture.program.stats()["attempts"]["out"].as_u64() >= Some(1));
+    eventually("the part is queued", || fixture.front_node.stats()["attempts"]["out"].as_u64() >= Some(1));
     thread::sleep(ms(300));
     let waited = started.elapsed();
     let server = pending.start_server(ServerBehavior::Serving);
@@ -298,7 +298,7 @@
     let fixture = Fixture::new("retryable", &[server.address], |config| {
         config["settings"]["classes"][1]["aim"] = 2_900_000.into();
     });
-    let mut client = Client::connect(fixture.program.address);
+    let mut client = Client::connect(fixture.front_node.address);
     let texts: Vec<String> = (0..4).map(|_| query("all", &[0], EXPIRES_MS).text).collect();
     client.write(texts.concat().as_bytes());
     let statuses: Vec<u16> = (0..4).map(|_| client.read().status).collect();
@@ -332,7 +332,7 @@
     eventually("a part is queued", || {
         waiting.push(fixture.send_query());
         thread::sleep(ms(20));
-        fixture.program.stats()["attempts"]["out"].as_u64() >= Some(1)
+        fixture.front_node.stats()["attempts"]["out"].as_u64() >= Some(1)
     });
     let mut entries = Fixture::entries(&replicas);
     entries[0]["status"] = json!("draining");
@@ -358,21 +358,21 @@
     let fixture = Fixture::new("retryable", &replicas, |config| {
         config["settings"]["permissions"]["most_held"] = 1000.into();
     });
-    let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(fixture.program.address)).collect();
+    let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(fixture.front_node.address)).collect();
     for client in &mut clients {
         assert_eq!(client.send(&query("all", &[0], 2000).text).status, 200);
     }
     assert!(servers.iter().all(|server| !server.received().is_empty()), "both servers are used");
     for round in 0..6 {
         let draining = round % 2;
-        fixture.program.pause();
+        fixture.front_node.pause();
         let mut entries = Fixture::entries(&replicas);
         entries[draining]["status"] = json!("draining");
         fixture.discovery.set_entries(entries);
         clients.iter_mut().for_each(|client| client.write(query("all", &[0], 2900).text.as_bytes()));
         thread::sleep(ms(200)); // the notification and the queries arrive before the front node resumes
         let before = servers[draining].received().len();
-        fixture.program.resume();
+        fixture.front_node.resume();
         let served =
             clients.iter_mut().filter_map(|client| (client.read().status == 200).then_some(())).count();
         assert!(served > 0, "the other server answers");
--- a/crates/node/tests/second_step.rs
+++ b/crates/node/tests/second_step.rs
@@ -17,8 +17,8 @@
     let entries = entries_at(servers.iter().map(|server| server.address));
     let discovery = Discovery::start(entries.clone());
     let config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(1, &entries));
-    let program = FrontNode::start_ready(NODE, &config);
-    let mut client = Client::connect(program.address);
+    let front_node = FrontNode::start_ready(NODE, &config);
+    let mut client = Client::connect(front_node.address);
     for _ in 0..40 {
         assert_eq!(client.send(&query("steps", &[0, 1, 2], 2000).text).status, 200);
     }
--- a/crates/node/tests/server_connections.rs
+++ b/crates/node/tests/server_connections.rs
@@ -22,7 +22,7 @@
     assert!(stats["attempts"]["connect_failed"].as_u64() >= Some(1));
     assert_eq!(stats["attempts"]["reset"], 0);
     eventually("the refused connection is logged", || {
-        deployment.program.close_reasons("index_server").contains(&"connect_refused".to_owned())
+        deployment.front_node.close_reasons("index_server").contains(&"connect_refused".to_owned())
     });
 
     deployment.servers[1].set_behavior(ServerBehavior::ClosingAfterFrame);
@@ -31,7 +31,7 @@
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(deployment.checked_stats()["attempts"]["reset"].as_u64() >= Some(1));
     eventually("the close is logged", || {
-        deployment.program.close_reasons("index_server").contains(&"ended_by_peer".to_owned())
+        deployment.front_node.close_reasons("index_server").contains(&"ended_by_peer".to_owned())
     });
 }
 
@@ -49,7 +49,7 @@
         let answer = client.send(&query("all", &[0], 600).text);
         assert_eq!(answer.status, 503, "{answer:?}");
         eventually("the close is logged", || {
-            deployment.program.close_reasons("index_server").contains(&reason.to_owned())
+            deployment.front_node.close_reasons("index_server").contains(&reason.to_owned())
         });
         assert!(deployment.checked_stats()["attempts"]["reset"].as_u64() >= Some(1));
         assert_eq!(
@@ -103,7 +103,7 @@
     assert_eq!(stats["connections"]["servers_open"], 1);
     let evicted = || {
         deployment
-            .program
+            .front_node
             .close_reasons("index_server")
             .iter()
             .filter(|reason| *reason == "made_room")
@@ -130,7 +130,7 @@
     assert_eq!(deployment.servers[0].received().len() + deployment.servers[3].received().len(), before);
     assert!(restarted.iter().map(|server| server.received().len()).sum::<usize>() >= 8);
     eventually("connections to the old address are closed", || {
-        deployment.program.close_reasons("index_server").contains(&"replaced".to_owned())
+        deployment.front_node.close_reasons("index_server").contains(&"replaced".to_owned())
     });
 }
 
@@ -156,10 +156,10 @@
     let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).text).status, 200);
     eventually("three connections are closed as idle", || {
-        deployment.program.close_reasons("index_server").iter().filter(|reason| *reason == "idle").count()
+        deployment.front_node.close_reasons("index_server").iter().filter(|reason| *reason == "idle").count()
             >= 3
     });
-    assert_eq!(deployment.program.stats()["connections"]["servers_open"], 0);
+    assert_eq!(deployment.front_node.stats()["connections"]["servers_open"], 0);
     assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).text).status, 200);
     assert!(
         deployment.servers.iter().map(Server::accepted_connections).sum::<u64>() >= 6,
--- a/crates/node/tests/server_stalls.rs
+++ b/crates/node/tests/server_stalls.rs
@@ -22,7 +22,7 @@
 /// A front node with a discovery service and six index servers, two in each of three cells.
 struct Deployment {
     servers: Vec<TimestampingServer>,
-    program: FrontNode,
+    front_node: FrontNode,
     _discovery: Discovery,
 }
 
@@ -34,8 +34,8 @@
         let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &endpoint_list(0, &[]));
         config["settings"]["permissions"]["most_held"] = 1000.into();
         config["settings"]["permissions"]["streams_per_conn"] = work.max_parts_per_connection.into();
-        let program = FrontNode::start_ready(NODE, &config);
-        Deployment { servers, program, _discovery: discovery }
+        let front_node = FrontNode::start_ready(NODE, &config);
+        Deployment { servers, front_node, _discovery: discovery }
     }
 
     /// Starts clients that each send one query after another until `stop` is set.
@@ -46,7 +46,7 @@
         stop: &Arc<AtomicBool>,
     ) -> Vec<thread::JoinHandle<()>> {
         let threads = (0..clients).map(|_| {
-            let (address, stop) = (self.program.address, stop.clone());
+            let (address, stop) = (self.front_node.address, stop.clone());
             thread::spawn(move || {
                 let mut client = Client::connect(address);
                 while !stop.load(Ordering::Relaxed) {
@@ -60,7 +60,7 @@
 
     /// Returns a counter of attempts from `/stats`.
     fn attempts(&self, kind: &str) -> u64 {
-        self.program.stats()["attempts"][kind].as_u64().expect("a count")
+        self.front_node.stats()["attempts"][kind].as_u64().expect("a count")
     }
 }
 
--- a/crates/node/tests/start_and_stop.rs
+++ b/crates/node/tests/start_and_stop.rs
@@ -80,8 +80,8 @@
     let mut open = deployment.client();
     open.write(query("all", &[0, 1], 2000).text.as_bytes());
     eventually("the parts are in flight", || deployment.parts_received() >= 2);
-    deployment.program.terminate();
-    eventually("the front node is no longer ready", || deployment.program.get("/health/ready").0 == 503);
+    deployment.front_node.terminate();
+    eventually("the front node is no longer ready", || deployment.front_node.get("/health/ready").0 == 503);
     // Until the load balancer notices, open connections and new ones are still served.
     deployment.set_all_behaviors(&ServerBehavior::Serving);
     assert_eq!(idle.send(&query("all", &[2], 2000).text).status, 200);
@@ -89,8 +89,8 @@
     let answer = open.read();
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(idle.is_closed(), "an idle connection is closed");
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
-    let lines = deployment.program.log_lines();
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
+    let lines = deployment.front_node.log_lines();
     let counters = lines.iter().find(|line| line.contains("msg=\"counters\"")).expect("counters at exit");
     assert!(counters.contains("\\\"whole\\\":3"), "{counters}");
 }
@@ -103,21 +103,21 @@
     let mut open = deployment.client();
     open.write(query("all", &[0, 1], 3000).text.as_bytes());
     eventually("the parts are in flight", || deployment.parts_received() >= 2);
-    deployment.program.terminate();
+    deployment.front_node.terminate();
     let answer = open.read();
     assert!(answer.status == 500 || answer.status == 503, "{answer:?}");
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_killed_node_restarts_under_its_name_and_address() {
     let mut deployment = Deployment::new(&ServerBehavior::Serving);
     assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
-    let address = deployment.program.address;
-    deployment.program.kill();
+    let address = deployment.front_node.address;
+    deployment.front_node.kill();
     let known = endpoint_list(1, &entries(&deployment.servers));
     let config = config_json(&address.to_string(), &deployment.discovery.address.to_string(), &known);
-    deployment.program = FrontNode::start_ready(NODE, &config);
-    assert_eq!(deployment.program.address, address);
+    deployment.front_node = FrontNode::start_ready(NODE, &config);
+    assert_eq!(deployment.front_node.address, address);
     assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).text).status, 200);
 }
