--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -4,7 +4,7 @@
 #[path = "common/deployment.rs"]
 mod deployment;
 
-use deployment::Deployment;
+use deployment::{start_deployment, start_deployment_with};
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, query, Client, Discovery, FrontNode, Server,
     ServerBehavior,
@@ -16,7 +16,7 @@
 #[test]
 fn other_clients_are_answered_during_a_connection_flood() {
     let mut deployment =
-        Deployment::with_config(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
+        start_deployment_with(&ServerBehavior::Serving, |config| config["limits"]["sockets"] = json!(64));
     // 64 descriptors, less 24 for other uses and 13 for connections to index servers. The front node's own
     // limit is lower still, because descriptors are also set aside for evicted connections that linger.
     let max_clients = 64 - 24 - 13;
@@ -53,7 +53,7 @@
 
 #[test]
 fn slow_senders_time_out_and_delay_no_other_client() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"request_ms": 300})
     });
     let mut slow_client = deployment.client();
@@ -68,7 +68,7 @@
 
 #[test]
 fn many_slow_bodies_stay_within_bounded_memory() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     // Each body stays 5000 bytes short of the announced length.
     let incomplete_request =
         format!("POST /all HTTP/1.1\r\nContent-Length: 65000\r\n\r\n{}", " ".repeat(60_000));
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_client_that_reads_no_responses_is_closed() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"answer_write_ms": 200})
     });
     let mut client = deployment.client();
--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -5,6 +5,10 @@
 //! occurs. On resume the front node finds both at once and must not start what the other event would have
 //! triggered.
 
+#[path = "common/deployment.rs"]
+mod deployment;
+
+use deployment::{start_deployment, start_deployment_with};
 use pinetrestle_standins::{
     config_json, endpoint_list, entries_at, eventually, query, Client, Discovery, FrontNode, PendingAddress,
     Server, ServerBehavior, SmallDeployment,
@@ -48,10 +52,6 @@
     }
 }
 
-fn start_with(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
-    SmallDeployment::start(NODE, behavior, change)
-}
-
 /// Asserts that the front node ends the query, and that the index servers have received exactly this many
 /// parts 150 ms later. An unwanted further attempt would have been sent in that time.
 fn assert_ended_after_parts(deployment: &SmallDeployment, parts_sent: usize) {
@@ -61,13 +61,13 @@
         classes.map(|class| class["held"].as_u64().expect("a count")).sum::<u64>() == 0
     });
     thread::sleep(ms(150));
-    assert_eq!(deployment.received(), parts_sent, "no part is sent after the client has disconnected");
+    assert_eq!(deployment.parts_received(), parts_sent, "no part is sent after the client has disconnected");
 }
 
 #[test]
 fn disconnect_before_the_first_attempt_prevents_it() {
     for kind in ALL_DISCONNECTS {
-        let deployment = start_with(&ServerBehavior::Serving, |_| {});
+        let deployment = start_deployment(&ServerBehavior::Serving);
         deployment.front_node.pause();
         let mut client = deployment.client();
         client.write(query("all", &[0, 1], 2000).text.as_bytes());
@@ -81,10 +81,10 @@
 #[test]
 fn disconnect_between_a_failure_and_its_retry_prevents_the_retry() {
     for kind in ALL_DISCONNECTS {
-        let deployment = start_with(&ServerBehavior::FailingAfter(ms(200)), |_| {});
+        let deployment = start_deployment(&ServerBehavior::FailingAfter(ms(200)));
         let mut client = deployment.client();
         client.write(query("all", &[0], 2000).text.as_bytes());
-        eventually("the part is in flight", || deployment.received() == 1);
+        eventually("the part is in flight", || deployment.parts_received() == 1);
         deployment.front_node.pause();
         let half_closed = disconnect(client, kind);
         thread::sleep(ms(300)); // the error arrives before the front node resumes
@@ -97,10 +97,10 @@
 #[test]
 fn disconnect_before_the_second_step_prevents_it() {
     for kind in ALL_DISCONNECTS {
-        let deployment = start_with(&ServerBehavior::ServingAfter(ms(200)), |_| {});
+        let deployment = start_deployment(&ServerBehavior::ServingAfter(ms(200)));
         let mut client = deployment.client();
         client.write(query("steps", &[0, 1, 2], 2000).text.as_bytes());
-        eventually("the parts are in flight", || deployment.received() == 3);
+        eventually("the parts are in flight", || deployment.parts_received() == 3);
         deployment.front_node.pause();
         let half_closed = disconnect(client, kind);
         thread::sleep(ms(300)); // all answers arrive before the front node resumes
@@ -113,10 +113,10 @@
 #[test]
 fn disconnect_before_a_hedge_of_an_overdue_part_prevents_it() {
     for kind in ALL_DISCONNECTS {
-        let deployment = start_with(&ServerBehavior::Silent, |_| {});
+        let deployment = start_deployment(&ServerBehavior::Silent);
         let mut client = deployment.client();
         client.write(query("all", &[0], 2900).text.as_bytes());
-        eventually("the part is in flight", || deployment.received() == 1);
+        eventually("the part is in flight", || deployment.parts_received() == 1);
         deployment.front_node.pause();
         let half_closed = disconnect(client, kind);
         // Far longer than half the latency objective: a hedged request is due when the front node resumes.
@@ -164,10 +164,10 @@
     for kind in ALL_DISCONNECTS {
         // With a latency objective of 2.9 s no hedged request is due before the end of this test.
         let change = |config: &mut Value| config["settings"]["classes"][1]["aim"] = 2_900_000.into();
-        let deployment = start_with(&ServerBehavior::Silent, change);
+        let deployment = start_deployment_with(&ServerBehavior::Silent, change);
         let mut client = deployment.client();
         client.write(query("all", &[0], 2900).text.as_bytes());
-        eventually("the part is in flight", || deployment.received() == 1);
+        eventually("the part is in flight", || deployment.parts_received() == 1);
         // More bytes than the front node reads while a response is outstanding, and fewer than the kernel
         // buffers: the disconnect arrives behind bytes that the front node has not read.
         let request = query("all", &[1], 2900).text.into_bytes();
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -3,24 +3,22 @@
 //! The races are forced: the test pauses the front node (SIGSTOP), causes both events, and resumes it, so
 //! that it finds both at once.
 
+#[path = "common/deployment.rs"]
+mod deployment;
+
+use deployment::start_deployment_with;
 use pinetrestle_standins::{eventually, query, Client, ServerBehavior, SmallDeployment};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read};
 use std::thread;
 use std::time::{Duration, Instant};
 
-const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
-
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn start_with(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
-    SmallDeployment::start(NODE, behavior, change)
-}
-
 fn start_with_transport(transport: Value) -> SmallDeployment {
-    start_with(&ServerBehavior::Serving, |config| config["transport"] = transport)
+    start_deployment_with(&ServerBehavior::Serving, |config| config["transport"] = transport)
 }
 
 /// Returns a client whose connection is idle after one answered query.
@@ -89,7 +87,7 @@
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("stopping")));
     assert!(incomplete.is_closed() && started.elapsed() < ms(1500), "{:?}", started.elapsed());
     assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
-    assert_eq!(deployment.received(), 0);
+    assert_eq!(deployment.parts_received(), 0);
 }
 
 #[test]
@@ -201,10 +199,10 @@
     thread::sleep(ms(400)); // the request arrives and the idle timeout passes before the front node resumes
     deployment.front_node.resume();
     assert_eq!(client.read().status, 200);
-    let before = deployment.received();
+    let before = deployment.parts_received();
     assert_closed_without_reset(&mut client);
     assert_eq!(
-        deployment.received(),
+        deployment.parts_received(),
         before,
         "a request that arrives after the half-close is never forwarded"
     );
@@ -218,7 +216,7 @@
     let deployment = start_with_transport(json!({"first_ms": 300}));
     let mut client = deployment.client();
     assert_closed_without_reset(&mut client);
-    assert_eq!(deployment.received(), 0);
+    assert_eq!(deployment.parts_received(), 0);
 }
 
 #[test]
@@ -230,11 +228,11 @@
         let address = deployment.address();
         move || Client::connect(address).send(&query("all", &[0], 2000).text).status
     });
-    let before = deployment.received();
+    let before = deployment.parts_received();
     assert_closed_without_reset(&mut oldest);
     assert_eq!(newcomer.join().expect("the newcomer is answered"), 200);
     assert!(
-        deployment.received() <= before + 1,
+        deployment.parts_received() <= before + 1,
         "a request that arrives after the half-close is never forwarded"
     );
     drop(others);
@@ -261,12 +259,12 @@
 fn an_idle_connection_at_shutdown_is_closed_without_reset() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 2000}));
     let mut client = idle_client(&deployment);
-    let before = deployment.received();
+    let before = deployment.parts_received();
     deployment.front_node.terminate();
     assert_closed_without_reset(&mut client);
     drop(client);
     assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
-    assert_eq!(deployment.received(), before);
+    assert_eq!(deployment.parts_received(), before);
 }
 
 #[test]
@@ -285,18 +283,18 @@
         let read = client.stream.read_to_end(&mut rest).map_err(|error| error.kind());
         assert_eq!(read, Ok(0), "no reset and no further response");
     }
-    assert_eq!(deployment.received(), 20, "the second request is never forwarded");
+    assert_eq!(deployment.parts_received(), 20, "the second request is never forwarded");
 }
 
 #[test]
 fn a_second_sigterm_and_a_concurrent_sighup_change_nothing() {
     for order in [["-TERM", "-TERM", "-HUP"], ["-HUP", "-TERM", "-TERM"], ["-TERM", "-HUP", "-INT"]] {
-        let mut deployment = start_with(&ServerBehavior::ServingAfter(ms(300)), |config| {
+        let mut deployment = start_deployment_with(&ServerBehavior::ServingAfter(ms(300)), |config| {
             config["transport"] = json!({"hand_over_ms": 100, "stop_within_ms": 3000});
         });
         let mut client = deployment.client();
         client.write(query("all", &[0, 1], 2000).text.as_bytes());
-        eventually("the parts are in flight", || deployment.received() >= 2);
+        eventually("the parts are in flight", || deployment.parts_received() >= 2);
         deployment.front_node.pause();
         order.iter().for_each(|signal| deployment.front_node.signal(signal));
         deployment.front_node.resume();
--- a/crates/node/tests/discovery_faults.rs
+++ b/crates/node/tests/discovery_faults.rs
@@ -3,7 +3,7 @@
 #[path = "common/deployment.rs"]
 mod deployment;
 
-use deployment::Deployment;
+use deployment::start_deployment;
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, query, Client, Discovery, DiscoveryBehavior, FrontNode,
     Server, ServerBehavior,
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_lost_watch_is_reopened_and_malformed_lists_change_nothing() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     eventually("a watch is open", || deployment.front_node.stats()["discovery"]["lists"].as_u64() >= Some(1));
     for behavior in [DiscoveryBehavior::Unavailable, DiscoveryBehavior::InvalidLines] {
         let before = deployment.discovery.watch_count();
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -3,7 +3,7 @@
 #[path = "common/deployment.rs"]
 mod deployment;
 
-use deployment::Deployment;
+use deployment::{start_deployment, start_deployment_with};
 use pinetrestle_standins::{entries, eventually, query, Client, Query, ServerBehavior};
 use serde_json::json;
 use std::thread;
@@ -14,7 +14,7 @@
 
 #[test]
 fn silent_and_trickling_clients_are_closed_in_time() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let started = Instant::now();
     let mut silent = deployment.client();
     let mut incomplete = deployment.client();
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_connection_may_stay_idle_after_its_first_request() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0], 2000).text).status, 200);
     thread::sleep(Duration::from_millis(2300));
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_body_of_sixty_megabytes_is_rejected_without_buffering() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     for head in ["Content-Length: 60000000", "Transfer-Encoding: chunked"] {
         let started = Instant::now();
         let mut client = deployment.client();
@@ -78,7 +78,7 @@
 #[test]
 fn a_smuggled_request_is_never_processed() {
     // Each of these heads leaves open where the body ends, so a second request could hide behind it.
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let smuggled = query("all", &[0], 2000).text;
     for fields in [
         format!("Content-Length: {}\r\nTransfer-Encoding: chunked", 5 + smuggled.len()),
@@ -98,7 +98,7 @@
 
 #[test]
 fn ambiguous_requests_are_rejected_and_the_sixteenth_closes_the_connection() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let good = query("all", &[0], 2000).text;
     let cases = [
         ("X-Qos: all", "X-Qos: all\r\nX-Qos: any"),
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_flood_of_silent_connections_is_evicted_before_active_ones() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 40})
     });
     let mut active = deployment.client();
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_newcomer_is_not_evicted_before_its_request_is_read() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 20})
     });
     for _ in 0..50 {
@@ -175,8 +175,8 @@
 
 #[test]
 fn a_request_deadline_runs_while_the_process_is_paused() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
-    deployment.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
+    let deployment = start_deployment(&ServerBehavior::Serving);
+    deployment.set_all_behaviors(&ServerBehavior::Silent);
     let mut client = deployment.client();
     assert_eq!(client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
     deployment.front_node.pause();
@@ -190,7 +190,7 @@
 
 #[test]
 fn an_id_reused_just_after_its_answer_is_rejected() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let text = query("all", &[0, 1], 2000).text;
     assert_eq!(deployment.client().send(&text).status, 200);
     let before = deployment.parts_received();
@@ -200,7 +200,7 @@
 
 #[test]
 fn a_server_that_stalls_within_a_frame_is_disconnected_before_the_query_deadline() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     deployment.servers[0].set_behavior(ServerBehavior::StallingWithinAnswer);
     let mut client = deployment.client();
     eventually("the stalled connection is closed", || {
@@ -218,8 +218,8 @@
     for behavior in
         [ServerBehavior::AnsweringTwice, ServerBehavior::AppendingGarbage, ServerBehavior::ClosingAfterAnswer]
     {
-        let deployment = Deployment::new(&ServerBehavior::Serving);
-        deployment.servers.iter().for_each(|server| server.set_behavior(behavior.clone()));
+        let deployment = start_deployment(&ServerBehavior::Serving);
+        deployment.set_all_behaviors(&behavior);
         let mut client = deployment.client();
         for _ in 0..30 {
             let Query { id, text } = query("all", &[0, 1, 2], 2000);
@@ -242,7 +242,7 @@
 
 #[test]
 fn connections_that_fall_silent_are_replaced() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     for _ in 0..20 {
         deployment.assert_serves();
     }
@@ -264,7 +264,7 @@
 
 #[test]
 fn connections_to_a_server_removed_from_the_endpoint_list_are_closed() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     for _ in 0..10 {
         deployment.assert_serves();
     }
--- a/crates/node/tests/query_serving.rs
+++ b/crates/node/tests/query_serving.rs
@@ -3,14 +3,14 @@
 #[path = "common/deployment.rs"]
 mod deployment;
 
-use deployment::Deployment;
+use deployment::{start_deployment, start_deployment_with};
 use pinetrestle_standins::{eventually, query, Query, Server, ServerBehavior};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_query_is_served_with_the_values_of_the_index_servers() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let mut client = deployment.client();
     let Query { id, text } = query("all", &[0, 1, 5], 2000);
     let answer = client.send(&text);
@@ -57,7 +57,7 @@
 
 #[test]
 fn any_two_of_three_parts_make_a_complete_answer() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     // Both servers of one cell are silent; the parts of the other two cells suffice.
     deployment.servers[0].set_behavior(ServerBehavior::Silent);
     deployment.servers[3].set_behavior(ServerBehavior::Silent);
@@ -73,7 +73,7 @@
 
 #[test]
 fn the_second_step_queries_the_best_shards_and_provides_the_answer() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let Query { id, text } = query("steps", &[0, 1, 2, 3], 2000);
     let answer = deployment.client().send(&text);
     assert_eq!(answer.status, 200, "{answer:?}");
@@ -101,7 +101,7 @@
 #[test]
 fn errors_and_rejections_of_index_servers_are_distinguished() {
     for (behavior, outcome) in [(ServerBehavior::Failing, "error"), (ServerBehavior::Rejecting, "full")] {
-        let deployment = Deployment::new(&behavior);
+        let deployment = start_deployment(&behavior);
         let answer = deployment.client().send(&query("all", &[0], 1500).text);
         assert_eq!(answer.status, 503, "{answer:?}");
         let wait: f64 = answer.headers["retry-after"].parse().expect("seconds");
@@ -114,7 +114,7 @@
 
 #[test]
 fn parts_of_a_disconnected_client_are_cancelled() {
-    let deployment = Deployment::new(&ServerBehavior::Silent);
+    let deployment = start_deployment(&ServerBehavior::Silent);
     let mut client = deployment.client();
     let Query { id, text } = query("all", &[0, 1], 2500);
     client.write(text.as_bytes());
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_silent_server_delays_no_other_query_and_its_own_query_ends_by_the_deadline() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     deployment.servers[0].set_behavior(ServerBehavior::Silent);
     deployment.servers[3].set_behavior(ServerBehavior::Silent);
     let mut waiting = deployment.client();
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_query_deadline_counts_from_the_first_byte_of_the_request() {
-    let deployment = Deployment::new(&ServerBehavior::Silent);
+    let deployment = start_deployment(&ServerBehavior::Silent);
     let text = query("all", &[0], 1500).text;
     let mut client = deployment.client();
     let started = Instant::now();
@@ -163,7 +163,7 @@
 
 #[test]
 fn malformed_requests_get_a_4xx_and_no_part_is_sent() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let good = query("all", &[0], 2000).text;
     let replaced = |from: &str, to: &str| {
         assert!(good.contains(from), "{from}");
@@ -213,7 +213,7 @@
 
 #[test]
 fn two_open_queries_cannot_share_an_id() {
-    let deployment = Deployment::new(&ServerBehavior::Silent);
+    let deployment = start_deployment(&ServerBehavior::Silent);
     let text = query("all", &[0], 2500).text;
     let mut first = deployment.client();
     first.write(text.as_bytes());
@@ -224,7 +224,7 @@
 
 #[test]
 fn a_query_over_the_in_flight_limit_is_rejected_with_retry_after() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["settings"]["permissions"]["most_held"] = json!(8)
     });
     let mut client = deployment.client();
@@ -246,7 +246,7 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let mut client = deployment.client();
     let first = query("all", &[0], 2000);
     let second = query("all", &[1], 2000);
@@ -258,7 +258,7 @@
 
 #[test]
 fn a_late_answer_is_discarded_and_counted() {
-    let deployment = Deployment::new(&ServerBehavior::ServingAfter(Duration::from_millis(900)));
+    let deployment = start_deployment(&ServerBehavior::ServingAfter(Duration::from_millis(900)));
     let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0], 400).text).status, 503);
     eventually("the late answer is counted", || {
--- a/crates/node/tests/server_connections.rs
+++ b/crates/node/tests/server_connections.rs
@@ -4,14 +4,14 @@
 #[path = "common/deployment.rs"]
 mod deployment;
 
-use deployment::Deployment;
+use deployment::{start_deployment, start_deployment_with};
 use pinetrestle_standins::{entries, eventually, query, ReservedAddress, Server, ServerBehavior};
 use serde_json::json;
 
 #[test]
 fn a_part_never_ran_on_a_refused_connection_and_may_have_run_on_a_closed_one() {
     let refusing = ReservedAddress::reserve();
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let mut list = entries(&deployment.servers);
     list[0]["address"] = json!(refusing.address.to_string());
     list[3]["address"] = json!(refusing.address.to_string());
@@ -42,7 +42,7 @@
         (ServerBehavior::AnsweringUnknownPart, "unknown_part"),
         (ServerBehavior::ClosingWithinAnswer, "ended_within_frame"),
     ] {
-        let deployment = Deployment::new(&ServerBehavior::Serving);
+        let deployment = start_deployment(&ServerBehavior::Serving);
         deployment.servers[0].set_behavior(behavior.clone());
         deployment.servers[3].set_behavior(behavior);
         let mut client = deployment.client();
@@ -62,7 +62,7 @@
 
 #[test]
 fn parts_of_one_batch_for_one_server_are_sent_in_one_call() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     // The three shards are in one cell, which has two servers: at least one call carries two parts.
     assert_eq!(deployment.client().send(&query("all", &[0, 3, 6], 2000).text).status, 200);
     let stats = deployment.checked_stats();
@@ -73,7 +73,7 @@
 #[test]
 fn an_attempt_without_a_free_connection_counts_as_never_run() {
     // The only connection has an unanswered part in flight throughout the test.
-    let deployment = Deployment::with_config(&ServerBehavior::Silent, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Silent, |config| {
         config["transport"] = json!({"server_connections": 1})
     });
     let mut client = deployment.client();
@@ -87,7 +87,7 @@
 
 #[test]
 fn an_idle_server_connection_is_evicted_for_a_needed_one() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"server_connections": 1})
     });
     let mut client = deployment.client();
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_server_restarted_under_its_name_is_reached_at_its_new_address() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0, 3], 2000).text).status, 200);
     let restarted: Vec<Server> = (0..2).map(|_| Server::start(ServerBehavior::Serving)).collect();
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_draining_server_gets_no_new_parts() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let mut list = entries(&deployment.servers);
     list[0]["status"] = json!("draining");
     deployment.change_endpoint_list(list);
@@ -150,7 +150,7 @@
 
 #[test]
 fn idle_server_connections_are_closed_by_the_node_first() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["settings"]["permissions"]["conn_idle"] = json!(400_000);
     });
     let mut client = deployment.client();
--- a/crates/node/tests/start_and_stop.rs
+++ b/crates/node/tests/start_and_stop.rs
@@ -3,7 +3,7 @@
 #[path = "common/deployment.rs"]
 mod deployment;
 
-use deployment::Deployment;
+use deployment::{start_deployment, start_deployment_with};
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, failed_start, failed_start_with_env, query, FrontNode,
     ServerBehavior,
@@ -72,7 +72,7 @@
 #[test]
 fn on_sigterm_open_queries_are_answered_before_the_exit() {
     let mut deployment =
-        Deployment::with_config(&ServerBehavior::ServingAfter(Duration::from_millis(400)), |config| {
+        start_deployment_with(&ServerBehavior::ServingAfter(Duration::from_millis(400)), |config| {
             config["transport"] = json!({"hand_over_ms": 2000, "stop_within_ms": 8000});
         });
     let mut idle = deployment.client();
@@ -97,7 +97,7 @@
 
 #[test]
 fn on_sigterm_queries_that_cannot_be_answered_are_failed_before_the_exit() {
-    let mut deployment = Deployment::with_config(&ServerBehavior::Silent, |config| {
+    let mut deployment = start_deployment_with(&ServerBehavior::Silent, |config| {
         config["transport"] = json!({"stop_within_ms": 900})
     });
     let mut open = deployment.client();
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_killed_node_restarts_under_its_name_and_address() {
-    let mut deployment = Deployment::new(&ServerBehavior::Serving);
+    let mut deployment = start_deployment(&ServerBehavior::Serving);
     assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
     let address = deployment.front_node.address;
     deployment.front_node.kill();
