--- a/crates/node/tests/client_capacity.rs
+++ b/crates/node/tests/client_capacity.rs
@@ -3,8 +3,11 @@
 
 #[path = "common/deployment.rs"]
 mod deployment;
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
 
 use deployment::{start_deployment, start_deployment_with};
+use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, query, Client, Discovery, FrontNode, Server,
     ServerBehavior,
@@ -26,9 +29,8 @@
         assert_eq!(client.send(&query("all", &[0, 1, 2], 2000).text).status, 200);
     }
     assert!(deployment.front_node.stats()["connections"]["clients_open"].as_u64() <= Some(max_clients));
-    eventually("the longest idle connections were evicted", || {
-        deployment.front_node.close_reasons("client").iter().any(|reason| reason == "made_room")
-    });
+    // The longest idle connections were evicted.
+    wait_for_logged_close(&deployment.front_node, "client", "made_room");
     assert!(flood.first_mut().expect("one").is_closed());
     assert!(deployment.front_node.is_running());
     assert_eq!(deployment.front_node.stats()["connections"]["accept_failed"], 0);
@@ -61,9 +63,7 @@
     assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
     assert_eq!(slow_client.read().status, 408);
     assert!(slow_client.is_closed());
-    eventually("the close is logged", || {
-        deployment.front_node.close_reasons("client").contains(&"request_timeout".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "client", "request_timeout");
 }
 
 #[test]
@@ -92,9 +92,7 @@
     let mut client = deployment.client();
     // The responses to these requests exceed the socket buffers of the kernel, so writing them blocks.
     client.write("GET /stats HTTP/1.1\r\n\r\n".repeat(8000).as_bytes());
-    eventually("the close is logged", || {
-        deployment.front_node.close_reasons("client").contains(&"write_stalled".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "client", "write_stalled");
     assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
 }
 
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -5,8 +5,11 @@
 
 #[path = "common/deployment.rs"]
 mod deployment;
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
 
 use deployment::start_deployment_with;
+use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{eventually, query, Client, Server, ServerBehavior, SmallDeployment};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read};
@@ -206,9 +209,7 @@
         before,
         "a request that arrives after the half-close is never forwarded"
     );
-    eventually("the close is logged", || {
-        deployment.front_node.close_reasons("client").contains(&"idle".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "client", "idle");
 }
 
 #[test]
--- a/crates/node/tests/discovery_faults.rs
+++ b/crates/node/tests/discovery_faults.rs
@@ -2,8 +2,11 @@
 
 #[path = "common/deployment.rs"]
 mod deployment;
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
 
 use deployment::start_deployment;
+use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, query, Client, Discovery, DiscoveryBehavior, FrontNode,
     Server, ServerBehavior,
@@ -33,7 +36,7 @@
         deployment.front_node.stats()["discovery"]["lists"].as_u64() > lists
     });
     for reason in ["ended_by_peer", "status", "bad_list"] {
-        eventually(reason, || deployment.front_node.close_reasons("discovery").contains(&reason.to_owned()));
+        wait_for_logged_close(&deployment.front_node, "discovery", reason);
     }
 }
 
@@ -48,9 +51,7 @@
     let front_node = FrontNode::start_ready(NODE, &config);
     // A second call is opened beside the first, and a third when both have timed out.
     eventually("the watch times out and is opened again", || discovery.watch_count() >= 3);
-    eventually("the close is logged", || {
-        front_node.close_reasons("discovery").contains(&"no_answer".to_owned())
-    });
+    wait_for_logged_close(&front_node, "discovery", "no_answer");
 }
 
 #[test]
--- a/crates/node/tests/discovery_watches.rs
+++ b/crates/node/tests/discovery_watches.rs
@@ -4,6 +4,10 @@
 //! These tests run in real time against a front node process; `list_change_latency` tests the same bound on a
 //! simulated clock.
 
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
+
+use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, query, Client, Discovery, DiscoveryBehavior, FrontNode,
     ReservedAddress, Server, ServerBehavior, WatchFault,
@@ -80,10 +84,7 @@
         deployment.discovery.fail_watches(fault);
         let latency = deployment.time_to_act_on_a_drain();
         assert!(latency < CHANGE_DEADLINE, "{fault:?}: {latency:?}");
-        // Log lines are buffered before they are written.
-        eventually("the failed watch is logged with its reason", || {
-            deployment.front_node.close_reasons("discovery").contains(&close_reason.to_owned())
-        });
+        wait_for_logged_close(&deployment.front_node, "discovery", close_reason);
     });
 }
 
@@ -156,9 +157,8 @@
         let up_from = Instant::now();
         eventually("the new address is watched", || new_discovery.watch_count() >= 1);
         assert!(up_from.elapsed() < CHANGE_DEADLINE, "{:?}", up_from.elapsed());
-        eventually("the old watch is closed", || {
-            deployment.front_node.close_reasons("discovery").contains(&"asked_anew".into())
-        });
+        // The old watch is closed.
+        wait_for_logged_close(&deployment.front_node, "discovery", "asked_anew");
     });
 }
 
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -2,8 +2,11 @@
 
 #[path = "common/deployment.rs"]
 mod deployment;
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
 
 use deployment::{start_deployment, start_deployment_with};
+use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{entries, eventually, query, Client, Query, ServerBehavior};
 use serde_json::json;
 use std::thread;
@@ -30,7 +33,7 @@
     assert_eq!(incomplete.read().status, 408);
     assert!(incomplete.is_closed() && started.elapsed() < CLOSE_WITHIN, "{:?}", started.elapsed());
     for reason in ["never_asked", "request_timeout"] {
-        eventually(reason, || deployment.front_node.close_reasons("client").contains(&reason.to_owned()));
+        wait_for_logged_close(&deployment.front_node, "client", reason);
     }
 }
 
@@ -118,9 +121,7 @@
     }
     assert!(client.is_closed(), "the front node closes the connection after sixteen rejected requests");
     assert_eq!(deployment.parts_received(), 0);
-    eventually("the close is logged", || {
-        deployment.front_node.close_reasons("client").contains(&"too_many_bad".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "client", "too_many_bad");
 }
 
 #[test]
@@ -257,9 +258,8 @@
         served_in_a_row = if served { served_in_a_row + 1 } else { 0 };
         served_in_a_row == 10
     });
-    eventually("the close of a silent connection is logged", || {
-        deployment.front_node.close_reasons("index_server").contains(&"unheard".to_owned())
-    });
+    // A silent connection was closed.
+    wait_for_logged_close(&deployment.front_node, "index_server", "unheard");
 }
 
 #[test]
--- a/crates/node/tests/query_serving.rs
+++ b/crates/node/tests/query_serving.rs
@@ -2,8 +2,11 @@
 
 #[path = "common/deployment.rs"]
 mod deployment;
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
 
 use deployment::{start_deployment, start_deployment_with};
+use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{eventually, query, Query, Server, ServerBehavior};
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -126,9 +129,7 @@
     });
     let stats = deployment.checked_stats();
     assert_eq!(stats["queries"]["all"]["gone"], 1);
-    eventually("the close is logged", || {
-        deployment.front_node.close_reasons("client").contains(&"client_gone".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "client", "client_gone");
 }
 
 #[test]
--- a/crates/node/tests/server_connections.rs
+++ b/crates/node/tests/server_connections.rs
@@ -3,8 +3,11 @@
 
 #[path = "common/deployment.rs"]
 mod deployment;
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
 
 use deployment::{start_deployment, start_deployment_with};
+use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{entries, eventually, query, ReservedAddress, Server, ServerBehavior};
 use serde_json::json;
 
@@ -21,18 +24,14 @@
     let stats = deployment.checked_stats();
     assert!(stats["attempts"]["connect_failed"].as_u64() >= Some(1));
     assert_eq!(stats["attempts"]["reset"], 0);
-    eventually("the refused connection is logged", || {
-        deployment.front_node.close_reasons("index_server").contains(&"connect_refused".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "index_server", "connect_refused");
 
     deployment.servers[1].set_behavior(ServerBehavior::ClosingAfterFrame);
     deployment.servers[4].set_behavior(ServerBehavior::ClosingAfterFrame);
     let answer = deployment.client().send(&query("all", &[1], 600).text);
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(deployment.checked_stats()["attempts"]["reset"].as_u64() >= Some(1));
-    eventually("the close is logged", || {
-        deployment.front_node.close_reasons("index_server").contains(&"ended_by_peer".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "index_server", "ended_by_peer");
 }
 
 #[test]
@@ -48,9 +47,7 @@
         let mut client = deployment.client();
         let answer = client.send(&query("all", &[0], 600).text);
         assert_eq!(answer.status, 503, "{answer:?}");
-        eventually("the close is logged", || {
-            deployment.front_node.close_reasons("index_server").contains(&reason.to_owned())
-        });
+        wait_for_logged_close(&deployment.front_node, "index_server", reason);
         assert!(deployment.checked_stats()["attempts"]["reset"].as_u64() >= Some(1));
         assert_eq!(
             client.send(&query("all", &[1, 2], 2000).text).status,
@@ -129,9 +126,8 @@
     }
     assert_eq!(deployment.servers[0].received().len() + deployment.servers[3].received().len(), before);
     assert!(restarted.iter().map(|server| server.received().len()).sum::<usize>() >= 8);
-    eventually("connections to the old address are closed", || {
-        deployment.front_node.close_reasons("index_server").contains(&"replaced".to_owned())
-    });
+    // Connections to the old address are closed.
+    wait_for_logged_close(&deployment.front_node, "index_server", "replaced");
 }
 
 #[test]
