--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -144,7 +144,9 @@
             client.write(query("all", &[0, 1, 2], 2900).text.as_bytes());
             eventually("the query is admitted", || front_node.stats()["attempts"]["out"] == 3);
             let half_closed = disconnect(client, kind);
-            eventually("the client is counted as gone", || front_node.stats()["queries"]["all"]["gone"] == 1);
+            eventually("the query is counted as ended by a disconnect", || {
+                front_node.stats()["queries"]["all"]["gone"] == 1
+            });
             let servers: Vec<Server> =
                 pending.into_iter().map(|pending| pending.start_server(ServerBehavior::Serving)).collect();
             // The first accepted connection is the one with which the stand-in filled the listen queue.
@@ -177,7 +179,7 @@
         eventually("reading is suspended", || bytes_read() > Some(80 * 1024));
         thread::sleep(ms(50));
         let half_closed = disconnect(client, kind);
-        eventually("the client is counted as gone", || {
+        eventually("the query is counted as ended by a disconnect", || {
             deployment.front_node.stats()["queries"]["all"]["gone"] == 1
         });
         assert_ended_after_parts(&deployment, 1);
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -225,13 +225,13 @@
     let deployment = start_with_transport(json!({"client_connections": 4}));
     let mut oldest = idle_client(&deployment);
     let others: Vec<Client> = (0..3).map(|_| idle_client(&deployment)).collect();
-    let newcomer = thread::spawn({
+    let new_client = thread::spawn({
         let address = deployment.address();
         move || Client::connect(address).send(&query("all", &[0], 2000).text).status
     });
     let before = deployment.parts_received();
     assert_closed_without_reset(&mut oldest);
-    assert_eq!(newcomer.join().expect("the newcomer is answered"), 200);
+    assert_eq!(new_client.join().expect("the new client is answered"), 200);
     assert!(
         deployment.parts_received() <= before + 1,
         "a request that arrives after the half-close is never forwarded"
@@ -241,19 +241,18 @@
 
 #[test]
 fn the_longest_idle_connections_are_evicted_before_the_limit_is_reached() {
-    // A sixteenth of the 32 places for client connections is kept free, so that a newcomer in a flood gets a
-    // place without waiting for another connection to close.
+    // A sixteenth of the limit of 32 client connections is kept free, so that a new connection in a flood is
+    // accepted without waiting for another one to close.
     let deployment = start_with_transport(json!({"client_connections": 32}));
     let mut oldest = idle_client(&deployment);
     let mut others: Vec<Client> = (0..28).map(|_| idle_client(&deployment)).collect();
     let open = || deployment.front_node.stats()["connections"]["clients_open"].as_u64().expect("a count");
-    // Each request for the counters uses a connection of its own, which is counted: 29 idle connections and
-    // this one.
-    eventually("29 connections are idle and three places are free", || open() == 30);
+    // Each request for the counters uses a connection of its own, which is counted too.
+    eventually("29 idle connections are open", || open() == 30);
     assert!(!deployment.front_node.close_reasons("client").iter().any(|reason| reason == "made_room"));
     others.push(idle_client(&deployment));
     assert_closed_without_reset(&mut oldest);
-    eventually("a place is free again", || open() <= 31);
+    eventually("the number of connections is below the limit", || open() <= 31);
 }
 
 #[test]
@@ -313,7 +312,7 @@
         assert_eq!(deployment.front_node.wait_for_exit(), Some(0), "{order:?}");
         assert_eq!(deployment.front_node.count_log_lines(&["msg=\"stopping\""]), 1, "{order:?}");
     }
-    // The watch on discovery stays open and is not opened again and again.
+    // The watch on discovery stays open: it is not reopened repeatedly.
     let deployment = start_with_transport(json!({}));
     assert!(deployment.discovery.watch_count() <= 2);
 }
--- a/crates/node/tests/deployment_isolation.rs
+++ b/crates/node/tests/deployment_isolation.rs
@@ -1,5 +1,5 @@
 //! Two front nodes of different deployments on one machine share no classes, tenants, limits or names, even
-//! when one of them is told to load the configuration of the other.
+//! when one of them is reloaded with the other's configuration file.
 
 use pinetrestle_node::config::DeploymentNames;
 use pinetrestle_protocol::names::WireNames;
@@ -156,7 +156,7 @@
             config["settings"]["classes"][class]["effect"] = json!("any");
         }
     });
-    eventually("ready, at the renamed path", || deployment.front_node.get("/in").0 == 200);
+    eventually("the front node is ready at the renamed path", || deployment.front_node.get("/in").0 == 200);
     assert_eq!(deployment.front_node.get("/health/ready").0, 404);
     let with_renamed_fields = |text: &str| {
         let pairs = [
--- a/crates/node/tests/discovery_faults.rs
+++ b/crates/node/tests/discovery_faults.rs
@@ -66,6 +66,6 @@
     assert_eq!(front_node.get("/health/live").0, 200);
     assert_eq!(front_node.get("/health/ready").0, 503);
     discovery.set_behavior(DiscoveryBehavior::Serving);
-    eventually("ready", || front_node.get("/health/ready").0 == 200);
+    eventually("the front node is ready", || front_node.get("/health/ready").0 == 200);
     assert_eq!(Client::connect(front_node.address).send(&query("all", &[0, 1, 2], 2000).text).status, 200);
 }
--- a/crates/node/tests/discovery_watches.rs
+++ b/crates/node/tests/discovery_watches.rs
@@ -52,9 +52,9 @@
     fn time_to_act_on_a_drain(&self) -> Duration {
         let changed_at = Instant::now();
         let lists_before = self.lists_received();
-        let mut lines = entries(&self.servers);
-        lines[0]["status"] = json!("draining");
-        self.discovery.set_entries(lines);
+        let mut list = entries(&self.servers);
+        list[0]["status"] = json!("draining");
+        self.discovery.set_entries(list);
         eventually("the change is received", || self.lists_received() > lists_before);
         let latency = changed_at.elapsed();
         let parts_before = self.servers[0].received().len();
@@ -180,7 +180,7 @@
                 assert_eq!(front_node.get("/health/ready").0, 503, "not ready without a list");
                 let _discovery = reserved.start_discovery(entries(&servers));
                 let up_from = Instant::now();
-                eventually("ready", || front_node.get("/health/ready").0 == 200);
+                eventually("the front node is ready", || front_node.get("/health/ready").0 == 200);
                 assert!(up_from.elapsed() < CHANGE_DEADLINE, "{mode}: {:?}", up_from.elapsed());
             });
         }
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -24,7 +24,7 @@
     incomplete.write(b"POST /all HTTP/1.1\r\nContent-Length: 100\r\n\r\n{");
     let mut trickling = deployment.client();
     // No 2 s pass without a byte, but the request is never complete.
-    while trickling.try_write(b"POST /".get(..1).expect("a byte")) && started.elapsed() < CLOSE_WITHIN {
+    while trickling.try_write(b"P") && started.elapsed() < CLOSE_WITHIN {
         thread::sleep(Duration::from_millis(50));
         deployment.assert_serves();
     }
@@ -149,13 +149,13 @@
 }
 
 #[test]
-fn a_newcomer_is_not_evicted_before_its_request_is_read() {
+fn a_new_connection_is_not_evicted_before_its_request_is_read() {
     let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 20})
     });
     for _ in 0..50 {
         let texts: Vec<String> = (0..60).map(|_| query("all", &[0], 2000).text).collect();
-        // Three times as many clients connect as there are places, and send their requests 5 ms later.
+        // Three times as many clients connect as the limit allows, and send their requests 5 ms later.
         let started = Instant::now();
         let mut clients: Vec<Client> = texts.iter().map(|_| deployment.client()).collect();
         thread::sleep(Duration::from_millis(5));
--- a/crates/node/tests/multiple_nodes.rs
+++ b/crates/node/tests/multiple_nodes.rs
@@ -151,7 +151,7 @@
     eventually("a watch is open", || front_node.stats()["discovery"]["lists"].as_u64() >= Some(1));
     assert_eq!(front_node.get("/health/ready").0, 503);
     discovery.set_entries(entries(&servers));
-    eventually("ready", || front_node.get("/health/ready").0 == 200);
+    eventually("the front node is ready", || front_node.get("/health/ready").0 == 200);
 }
 
 #[test]
@@ -165,7 +165,7 @@
     config["limits"]["sockets"] = json!(96);
     // The limit of the operating system is as low, so that opening one descriptor too many fails.
     let front_node = FrontNode::start_with_shell_setup("ulimit -n 96", NODE, &config);
-    eventually("ready", || front_node.get("/health/ready").0 == 200);
+    eventually("the front node is ready", || front_node.get("/health/ready").0 == 200);
     let mut idle: Vec<TcpStream> = Vec::new();
     let mut served: Vec<Client> = Vec::new();
     for round in 0..300 {
