--- a/crates/node/tests/discovery_watches.rs
+++ b/crates/node/tests/discovery_watches.rs
@@ -4,13 +4,16 @@
 //! These tests run in real time against a front node process; `list_change_latency` tests the same bound on a
 //! simulated clock.
 
+#[path = "common/deployment.rs"]
+mod deployment;
 #[path = "common/logged_closes.rs"]
 mod logged_closes;
 
+use deployment::start_deployment_with;
 use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{
-    config_json, endpoint_list, entries, eventually, query, Client, Discovery, DiscoveryBehavior, FrontNode,
-    ReservedAddress, Server, ServerBehavior, WatchFault,
+    config_json, endpoint_list, entries, eventually, query, DiscoveryBehavior, FrontNode, ReservedAddress,
+    Server, ServerBehavior, SmallDeployment, WatchFault,
 };
 use serde_json::json;
 use std::thread;
@@ -21,58 +24,46 @@
 /// acts on it.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
 
-/// A front node with its discovery service and six index servers.
-struct Deployment {
-    servers: Vec<Server>,
-    discovery: Discovery,
-    front_node: FrontNode,
-}
-
-impl Deployment {
-    /// Starts a front node that polls for the endpoint list (mode `ask`) or has it pushed (mode `push`).
-    fn new(mode: &str) -> Deployment {
-        let servers: Vec<Server> = (0..6).map(|_| Server::start(ServerBehavior::Serving)).collect();
-        let discovery = Discovery::start(entries(&servers));
-        let known = endpoint_list(1, &entries(&servers));
-        let mut config = config_json("127.0.0.1:0", &discovery.address.to_string(), &known);
+/// Starts a deployment whose front node polls for the endpoint list (mode `ask`) or has it pushed (mode
+/// `push`), and waits until the front node has a watch.
+fn start_with_list_mode(mode: &str) -> SmallDeployment {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["settings"]["discovery"] = json!(mode);
-        let front_node = FrontNode::start_ready(NODE, &config);
-        let deployment = Deployment { servers, discovery, front_node };
-        eventually("a watch is established", || deployment.lists_received() >= 1);
-        deployment
-    }
+    });
+    eventually("a watch is established", || lists_received(&deployment) >= 1);
+    deployment
+}
 
-    /// Returns the number of endpoint lists received so far.
-    fn lists_received(&self) -> u64 {
-        self.front_node.stats()["discovery"]["lists"].as_u64().expect("a count")
-    }
+/// Returns the number of endpoint lists received so far.
+fn lists_received(deployment: &SmallDeployment) -> u64 {
+    deployment.front_node.stats()["discovery"]["lists"].as_u64().expect("a count")
+}
 
-    /// Lists the first server as draining and returns how long the front node took to receive that change.
-    /// Asserts that the server gets no part after it.
-    fn time_to_act_on_a_drain(&self) -> Duration {
-        let changed_at = Instant::now();
-        let lists_before = self.lists_received();
-        let mut list = entries(&self.servers);
-        list[0]["status"] = json!("draining");
-        self.discovery.set_entries(list);
-        eventually("the change is received", || self.lists_received() > lists_before);
-        let latency = changed_at.elapsed();
-        let parts_before = self.servers[0].received().len();
-        let mut client = Client::connect(self.front_node.address);
-        for _ in 0..20 {
-            assert_eq!(client.send(&query("all", &[0, 3], 2000).text).status, 200);
-        }
-        assert_eq!(self.servers[0].received().len(), parts_before, "a draining server gets no part");
-        latency
+/// Lists the first server as draining and returns how long the front node took to receive that change.
+/// Asserts that the server gets no part after it.
+fn time_to_act_on_a_drain(deployment: &SmallDeployment) -> Duration {
+    let changed_at = Instant::now();
+    let lists_before = lists_received(deployment);
+    let mut list = entries(&deployment.servers);
+    list[0]["status"] = json!("draining");
+    deployment.discovery.set_entries(list);
+    eventually("the change is received", || lists_received(deployment) > lists_before);
+    let latency = changed_at.elapsed();
+    let parts_before = deployment.servers[0].received().len();
+    let mut client = deployment.client();
+    for _ in 0..20 {
+        assert_eq!(client.send(&query("all", &[0, 3], 2000).text).status, 200);
     }
+    assert_eq!(deployment.servers[0].received().len(), parts_before, "a draining server gets no part");
+    latency
 }
 
 /// Runs the test concurrently on a front node that polls for the endpoint list and on one that has it pushed.
-fn in_both_list_modes(test: impl Fn(Deployment) + Sync) {
+fn in_both_list_modes(test: impl Fn(SmallDeployment) + Sync) {
     thread::scope(|scope| {
         for mode in ["ask", "push"] {
             let test = &test;
-            scope.spawn(move || test(Deployment::new(mode)));
+            scope.spawn(move || test(start_with_list_mode(mode)));
         }
     });
 }
@@ -82,7 +73,7 @@
 fn assert_change_in_time_while(fault: WatchFault, close_reason: &str) {
     in_both_list_modes(|deployment| {
         deployment.discovery.fail_watches(fault);
-        let latency = deployment.time_to_act_on_a_drain();
+        let latency = time_to_act_on_a_drain(&deployment);
         assert!(latency < CHANGE_DEADLINE, "{fault:?}: {latency:?}");
         wait_for_logged_close(&deployment.front_node, "discovery", close_reason);
     });
@@ -117,7 +108,7 @@
         let silent_from = Instant::now();
         eventually("a new watch is opened", || deployment.discovery.watch_count() > watches_before);
         deployment.discovery.set_behavior(DiscoveryBehavior::Serving);
-        deployment.time_to_act_on_a_drain();
+        time_to_act_on_a_drain(&deployment);
         assert!(silent_from.elapsed() < CHANGE_DEADLINE, "{:?}", silent_from.elapsed());
     });
 }
@@ -134,7 +125,7 @@
             });
         }
         deployment.discovery.set_behavior(DiscoveryBehavior::Indented);
-        let latency = deployment.time_to_act_on_a_drain();
+        let latency = time_to_act_on_a_drain(&deployment);
         assert!(latency < CHANGE_DEADLINE, "{latency:?}");
     });
 }
@@ -152,7 +143,7 @@
             deployment.front_node.count_log_lines(&["side=discovery", "reason=connect_refused"]) >= 2
         });
         // While the old address delivers changes, the decision core has a current list and does not poll.
-        deployment.time_to_act_on_a_drain();
+        time_to_act_on_a_drain(&deployment);
         let new_discovery = reserved.start_discovery(entries(&deployment.servers));
         let up_from = Instant::now();
         eventually("the new address is watched", || new_discovery.watch_count() >= 1);
