--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -3,24 +3,25 @@
 //! The races are forced: the test pauses the front node (SIGSTOP), causes both events, and resumes it, so
 //! that it finds both at once.
 
-use pinetrestle_standins::{eventually, query, Client, ServerBehavior, SmallDeployment};
+#[path = "common/deployment.rs"]
+mod deployment;
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
+
+use deployment::start_deployment_with;
+use logged_closes::wait_for_logged_close;
+use pinetrestle_standins::{eventually, query, Client, Server, ServerBehavior, SmallDeployment};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read};
 use std::thread;
 use std::time::{Duration, Instant};
 
-const NODE: &str = env!("CARGO_BIN_EXE_pinetrestle-node");
-
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn start_with(behavior: &ServerBehavior, change: impl FnOnce(&mut Value)) -> SmallDeployment {
-    SmallDeployment::start(NODE, behavior, change)
-}
-
 fn start_with_transport(transport: Value) -> SmallDeployment {
-    start_with(&ServerBehavior::Serving, |config| config["transport"] = transport)
+    start_deployment_with(&ServerBehavior::Serving, |config| config["transport"] = transport)
 }
 
 /// Returns a client whose connection is idle after one answered query.
@@ -89,7 +90,7 @@
     assert_eq!((answer.status, answer.json()["reason"].as_str()), (503, Some("stopping")));
     assert!(incomplete.is_closed() && started.elapsed() < ms(1500), "{:?}", started.elapsed());
     assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
-    assert_eq!(deployment.received(), 0);
+    assert_eq!(deployment.parts_received(), 0);
 }
 
 #[test]
@@ -201,16 +202,14 @@
     thread::sleep(ms(400)); // the request arrives and the idle timeout passes before the front node resumes
     deployment.front_node.resume();
     assert_eq!(client.read().status, 200);
-    let before = deployment.received();
+    let before = deployment.parts_received();
     assert_closed_without_reset(&mut client);
     assert_eq!(
-        deployment.received(),
+        deployment.parts_received(),
         before,
         "a request that arrives after the half-close is never forwarded"
     );
-    eventually("the close is logged", || {
-        deployment.front_node.close_reasons("client").contains(&"idle".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "client", "idle");
 }
 
 #[test]
@@ -218,7 +217,7 @@
     let deployment = start_with_transport(json!({"first_ms": 300}));
     let mut client = deployment.client();
     assert_closed_without_reset(&mut client);
-    assert_eq!(deployment.received(), 0);
+    assert_eq!(deployment.parts_received(), 0);
 }
 
 #[test]
@@ -226,15 +225,15 @@
     let deployment = start_with_transport(json!({"client_connections": 4}));
     let mut oldest = idle_client(&deployment);
     let others: Vec<Client> = (0..3).map(|_| idle_client(&deployment)).collect();
-    let newcomer = thread::spawn({
+    let new_client = thread::spawn({
         let address = deployment.address();
         move || Client::connect(address).send(&query("all", &[0], 2000).text).status
     });
-    let before = deployment.received();
+    let before = deployment.parts_received();
     assert_closed_without_reset(&mut oldest);
-    assert_eq!(newcomer.join().expect("the newcomer is answered"), 200);
+    assert_eq!(new_client.join().expect("the new client is answered"), 200);
     assert!(
-        deployment.received() <= before + 1,
+        deployment.parts_received() <= before + 1,
         "a request that arrives after the half-close is never forwarded"
     );
     drop(others);
@@ -242,36 +241,36 @@
 
 #[test]
 fn the_longest_idle_connections_are_evicted_before_the_limit_is_reached() {
-    // A sixteenth of the 32 places for client connections is kept free, so that a newcomer in a flood gets a
-    // place without waiting for another connection to close.
+    // A sixteenth of the limit of 32 client connections is kept free, so that a new connection in a flood is
+    // accepted without waiting for another one to close.
     let deployment = start_with_transport(json!({"client_connections": 32}));
     let mut oldest = idle_client(&deployment);
     let mut others: Vec<Client> = (0..28).map(|_| idle_client(&deployment)).collect();
     let open = || deployment.front_node.stats()["connections"]["clients_open"].as_u64().expect("a count");
-    // Each request for the counters uses a connection of its own, which is counted: 29 idle connections and
-    // this one.
-    eventually("29 connections are idle and three places are free", || open() == 30);
+    // Each request for the counters uses a connection of its own, which is counted too.
+    eventually("29 idle connections are open", || open() == 30);
     assert!(!deployment.front_node.close_reasons("client").iter().any(|reason| reason == "made_room"));
     others.push(idle_client(&deployment));
     assert_closed_without_reset(&mut oldest);
-    eventually("a place is free again", || open() <= 31);
+    eventually("the number of connections is below the limit", || open() <= 31);
 }
 
 #[test]
 fn an_idle_connection_at_shutdown_is_closed_without_reset() {
     let mut deployment = start_with_transport(json!({"hand_over_ms": 100, "stop_within_ms": 2000}));
     let mut client = idle_client(&deployment);
-    let before = deployment.received();
+    let before = deployment.parts_received();
     deployment.front_node.terminate();
     assert_closed_without_reset(&mut client);
     drop(client);
     assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
-    assert_eq!(deployment.received(), before);
+    assert_eq!(deployment.parts_received(), before);
 }
 
 #[test]
 fn a_response_with_connection_close_is_delivered_while_more_bytes_arrive() {
     let deployment = start_with_transport(json!({}));
+    // On each connection the first request asks for shard 0 and the second one for shard 1.
     for _ in 0..20 {
         let mut client = deployment.client();
         let text = query("all", &[0], 2000).text.replace("Host: app.svc", "Connection: close");
@@ -285,18 +284,25 @@
         let read = client.stream.read_to_end(&mut rest).map_err(|error| error.kind());
         assert_eq!(read, Ok(0), "no reset and no further response");
     }
-    assert_eq!(deployment.received(), 20, "the second request is never forwarded");
+    // Counted once no query or attempt is in flight. The number of parts is not checked, because a first
+    // request may also have a hedged request.
+    let stats = deployment.checked_stats();
+    assert_eq!(stats["queries"]["all"]["taken"], 20, "the second request is never taken: {stats}");
+    let shards: Vec<u32> =
+        deployment.servers.iter().flat_map(Server::received).map(|part| part.shard).collect();
+    assert!(shards.len() >= 20, "each first request has been forwarded: {shards:?}");
+    assert!(shards.iter().all(|shard| *shard == 0), "the second request is never forwarded: {shards:?}");
 }
 
 #[test]
 fn a_second_sigterm_and_a_concurrent_sighup_change_nothing() {
     for order in [["-TERM", "-TERM", "-HUP"], ["-HUP", "-TERM", "-TERM"], ["-TERM", "-HUP", "-INT"]] {
-        let mut deployment = start_with(&ServerBehavior::ServingAfter(ms(300)), |config| {
+        let mut deployment = start_deployment_with(&ServerBehavior::ServingAfter(ms(300)), |config| {
             config["transport"] = json!({"hand_over_ms": 100, "stop_within_ms": 3000});
         });
         let mut client = deployment.client();
         client.write(query("all", &[0, 1], 2000).text.as_bytes());
-        eventually("the parts are in flight", || deployment.received() >= 2);
+        eventually("the parts are in flight", || deployment.parts_received() >= 2);
         deployment.front_node.pause();
         order.iter().for_each(|signal| deployment.front_node.signal(signal));
         deployment.front_node.resume();
@@ -306,7 +312,7 @@
         assert_eq!(deployment.front_node.wait_for_exit(), Some(0), "{order:?}");
         assert_eq!(deployment.front_node.count_log_lines(&["msg=\"stopping\""]), 1, "{order:?}");
     }
-    // The watch on discovery stays open and is not opened again and again.
+    // The watch on discovery stays open: it is not reopened repeatedly.
     let deployment = start_with_transport(json!({}));
     assert!(deployment.discovery.watch_count() <= 2);
 }
--- a/crates/node/tests/misbehaving_peers.rs
+++ b/crates/node/tests/misbehaving_peers.rs
@@ -2,8 +2,11 @@
 
 #[path = "common/deployment.rs"]
 mod deployment;
+#[path = "common/logged_closes.rs"]
+mod logged_closes;
 
-use deployment::Deployment;
+use deployment::{start_deployment, start_deployment_with};
+use logged_closes::wait_for_logged_close;
 use pinetrestle_standins::{entries, eventually, query, Client, Query, ServerBehavior};
 use serde_json::json;
 use std::thread;
@@ -14,14 +17,14 @@
 
 #[test]
 fn silent_and_trickling_clients_are_closed_in_time() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let started = Instant::now();
     let mut silent = deployment.client();
     let mut incomplete = deployment.client();
     incomplete.write(b"POST /all HTTP/1.1\r\nContent-Length: 100\r\n\r\n{");
     let mut trickling = deployment.client();
     // No 2 s pass without a byte, but the request is never complete.
-    while trickling.try_write(b"POST /".get(..1).expect("a byte")) && started.elapsed() < CLOSE_WITHIN {
+    while trickling.try_write(b"P") && started.elapsed() < CLOSE_WITHIN {
         thread::sleep(Duration::from_millis(50));
         deployment.assert_serves();
     }
@@ -30,13 +33,13 @@
     assert_eq!(incomplete.read().status, 408);
     assert!(incomplete.is_closed() && started.elapsed() < CLOSE_WITHIN, "{:?}", started.elapsed());
     for reason in ["never_asked", "request_timeout"] {
-        eventually(reason, || deployment.program.close_reasons("client").contains(&reason.to_owned()));
+        wait_for_logged_close(&deployment.front_node, "client", reason);
     }
 }
 
 #[test]
 fn a_connection_may_stay_idle_after_its_first_request() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let mut client = deployment.client();
     assert_eq!(client.send(&query("all", &[0], 2000).text).status, 200);
     thread::sleep(Duration::from_millis(2300));
@@ -45,7 +48,7 @@
 
 #[test]
 fn a_body_of_sixty_megabytes_is_rejected_without_buffering() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     for head in ["Content-Length: 60000000", "Transfer-Encoding: chunked"] {
         let started = Instant::now();
         let mut client = deployment.client();
@@ -59,17 +62,26 @@
         assert!(started.elapsed() < CLOSE_WITHIN, "{:?}", started.elapsed());
     }
     eventually("the close is logged", || {
-        deployment.program.close_reasons("client").iter().filter(|reason| *reason == "body_too_long").count()
+        deployment
+            .front_node
+            .close_reasons("client")
+            .iter()
+            .filter(|reason| *reason == "body_too_long")
+            .count()
             == 2
     });
-    assert!(deployment.program.peak_memory_kb() < 32 * 1024, "{} kB", deployment.program.peak_memory_kb());
+    assert!(
+        deployment.front_node.peak_memory_kb() < 32 * 1024,
+        "{} kB",
+        deployment.front_node.peak_memory_kb()
+    );
     deployment.assert_serves();
 }
 
 #[test]
 fn a_smuggled_request_is_never_processed() {
     // Each of these heads leaves open where the body ends, so a second request could hide behind it.
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let smuggled = query("all", &[0], 2000).text;
     for fields in [
         format!("Content-Length: {}\r\nTransfer-Encoding: chunked", 5 + smuggled.len()),
@@ -89,7 +101,7 @@
 
 #[test]
 fn ambiguous_requests_are_rejected_and_the_sixteenth_closes_the_connection() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let good = query("all", &[0], 2000).text;
     let cases = [
         ("X-Qos: all", "X-Qos: all\r\nX-Qos: any"),
@@ -109,14 +121,12 @@
     }
     assert!(client.is_closed(), "the front node closes the connection after sixteen rejected requests");
     assert_eq!(deployment.parts_received(), 0);
-    eventually("the close is logged", || {
-        deployment.program.close_reasons("client").contains(&"too_many_bad".to_owned())
-    });
+    wait_for_logged_close(&deployment.front_node, "client", "too_many_bad");
 }
 
 #[test]
 fn a_flood_of_silent_connections_is_evicted_before_active_ones() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 40})
     });
     let mut active = deployment.client();
@@ -129,7 +139,7 @@
             deployment.assert_serves();
         }
     }
-    let stats = deployment.program.stats();
+    let stats = deployment.front_node.stats();
     assert!(stats["connections"]["clients_open"].as_u64() <= Some(40), "{stats}");
     assert_eq!(
         active.send(&query("all", &[2], 2000).text).status,
@@ -139,13 +149,13 @@
 }
 
 #[test]
-fn a_newcomer_is_not_evicted_before_its_request_is_read() {
-    let deployment = Deployment::with_config(&ServerBehavior::Serving, |config| {
+fn a_new_connection_is_not_evicted_before_its_request_is_read() {
+    let deployment = start_deployment_with(&ServerBehavior::Serving, |config| {
         config["transport"] = json!({"client_connections": 20})
     });
     for _ in 0..50 {
         let texts: Vec<String> = (0..60).map(|_| query("all", &[0], 2000).text).collect();
-        // Three times as many clients connect as there are places, and send their requests 5 ms later.
+        // Three times as many clients connect as the limit allows, and send their requests 5 ms later.
         let started = Instant::now();
         let mut clients: Vec<Client> = texts.iter().map(|_| deployment.client()).collect();
         thread::sleep(Duration::from_millis(5));
@@ -166,22 +176,22 @@
 
 #[test]
 fn a_request_deadline_runs_while_the_process_is_paused() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
-    deployment.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
+    let deployment = start_deployment(&ServerBehavior::Serving);
+    deployment.set_all_behaviors(&ServerBehavior::Silent);
     let mut client = deployment.client();
     assert_eq!(client.send("GET /health/live HTTP/1.1\r\n\r\n").status, 200);
-    deployment.program.pause();
+    deployment.front_node.pause();
     let started = Instant::now();
     client.write(query("all", &[0], 1500).text.as_bytes());
     thread::sleep(Duration::from_millis(700));
-    deployment.program.resume();
+    deployment.front_node.resume();
     assert_eq!(client.read().status, 503);
     assert!(started.elapsed() < Duration::from_millis(1900), "{:?}", started.elapsed());
 }
 
 #[test]
 fn an_id_reused_just_after_its_answer_is_rejected() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     let text = query("all", &[0, 1], 2000).text;
     assert_eq!(deployment.client().send(&text).status, 200);
     let before = deployment.parts_received();
@@ -191,7 +201,7 @@
 
 #[test]
 fn a_server_that_stalls_within_a_frame_is_disconnected_before_the_query_deadline() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     deployment.servers[0].set_behavior(ServerBehavior::StallingWithinAnswer);
     let mut client = deployment.client();
     eventually("the stalled connection is closed", || {
@@ -199,9 +209,9 @@
         let answer = client.send(&query("all", &[0], 3000).text);
         assert_eq!(answer.status, 200, "another replica answers: {answer:?}");
         assert!(started.elapsed() < Duration::from_millis(1500), "{:?}", started.elapsed());
-        deployment.program.close_reasons("index_server").contains(&"stalled_within_frame".to_owned())
+        deployment.front_node.close_reasons("index_server").contains(&"stalled_within_frame".to_owned())
     });
-    assert!(deployment.program.stats()["attempts"]["reset"].as_u64() >= Some(1), "the part may have run");
+    assert!(deployment.front_node.stats()["attempts"]["reset"].as_u64() >= Some(1), "the part may have run");
 }
 
 #[test]
@@ -209,8 +219,8 @@
     for behavior in
         [ServerBehavior::AnsweringTwice, ServerBehavior::AppendingGarbage, ServerBehavior::ClosingAfterAnswer]
     {
-        let deployment = Deployment::new(&ServerBehavior::Serving);
-        deployment.servers.iter().for_each(|server| server.set_behavior(behavior.clone()));
+        let deployment = start_deployment(&ServerBehavior::Serving);
+        deployment.set_all_behaviors(&behavior);
         let mut client = deployment.client();
         for _ in 0..30 {
             let Query { id, text } = query("all", &[0, 1, 2], 2000);
@@ -221,7 +231,7 @@
             }
         }
         if behavior == ServerBehavior::AnsweringTwice {
-            let stats = deployment.program.stats();
+            let stats = deployment.front_node.stats();
             assert!(stats["attempts"]["late_answers"].as_u64() >= Some(80), "{stats}");
             assert!(
                 stats["connections"]["servers_begun"].as_u64() <= Some(6),
@@ -233,7 +243,7 @@
 
 #[test]
 fn connections_that_fall_silent_are_replaced() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     for _ in 0..20 {
         deployment.assert_serves();
     }
@@ -248,18 +258,17 @@
         served_in_a_row = if served { served_in_a_row + 1 } else { 0 };
         served_in_a_row == 10
     });
-    eventually("the close of a silent connection is logged", || {
-        deployment.program.close_reasons("index_server").contains(&"unheard".to_owned())
-    });
+    // A silent connection was closed.
+    wait_for_logged_close(&deployment.front_node, "index_server", "unheard");
 }
 
 #[test]
 fn connections_to_a_server_removed_from_the_endpoint_list_are_closed() {
-    let deployment = Deployment::new(&ServerBehavior::Serving);
+    let deployment = start_deployment(&ServerBehavior::Serving);
     for _ in 0..10 {
         deployment.assert_serves();
     }
-    let open = || deployment.program.stats()["connections"]["servers_open"].as_u64();
+    let open = || deployment.front_node.stats()["connections"]["servers_open"].as_u64();
     assert!(open() > Some(3));
     deployment.discovery.set_entries(entries(&deployment.servers[..3]));
     eventually("only connections to listed servers stay open", || open() <= Some(3));
--- a/crates/node/tests/start_and_stop.rs
+++ b/crates/node/tests/start_and_stop.rs
@@ -3,7 +3,7 @@
 #[path = "common/deployment.rs"]
 mod deployment;
 
-use deployment::Deployment;
+use deployment::{start_deployment, start_deployment_with};
 use pinetrestle_standins::{
     config_json, endpoint_list, entries, eventually, failed_start, failed_start_with_env, query, FrontNode,
     ServerBehavior,
@@ -72,7 +72,7 @@
 #[test]
 fn on_sigterm_open_queries_are_answered_before_the_exit() {
     let mut deployment =
-        Deployment::with_config(&ServerBehavior::ServingAfter(Duration::from_millis(400)), |config| {
+        start_deployment_with(&ServerBehavior::ServingAfter(Duration::from_millis(400)), |config| {
             config["transport"] = json!({"hand_over_ms": 2000, "stop_within_ms": 8000});
         });
     let mut idle = deployment.client();
@@ -80,8 +80,8 @@
     let mut open = deployment.client();
     open.write(query("all", &[0, 1], 2000).text.as_bytes());
     eventually("the parts are in flight", || deployment.parts_received() >= 2);
-    deployment.program.terminate();
-    eventually("the front node is no longer ready", || deployment.program.get("/health/ready").0 == 503);
+    deployment.front_node.terminate();
+    eventually("the front node is no longer ready", || deployment.front_node.get("/health/ready").0 == 503);
     // Until the load balancer notices, open connections and new ones are still served.
     deployment.set_all_behaviors(&ServerBehavior::Serving);
     assert_eq!(idle.send(&query("all", &[2], 2000).text).status, 200);
@@ -89,35 +89,35 @@
     let answer = open.read();
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(idle.is_closed(), "an idle connection is closed");
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
-    let lines = deployment.program.log_lines();
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
+    let lines = deployment.front_node.log_lines();
     let counters = lines.iter().find(|line| line.contains("msg=\"counters\"")).expect("counters at exit");
     assert!(counters.contains("\\\"whole\\\":3"), "{counters}");
 }
 
 #[test]
 fn on_sigterm_queries_that_cannot_be_answered_are_failed_before_the_exit() {
-    let mut deployment = Deployment::with_config(&ServerBehavior::Silent, |config| {
+    let mut deployment = start_deployment_with(&ServerBehavior::Silent, |config| {
         config["transport"] = json!({"stop_within_ms": 900})
     });
     let mut open = deployment.client();
     open.write(query("all", &[0, 1], 3000).text.as_bytes());
     eventually("the parts are in flight", || deployment.parts_received() >= 2);
-    deployment.program.terminate();
+    deployment.front_node.terminate();
     let answer = open.read();
     assert!(answer.status == 500 || answer.status == 503, "{answer:?}");
-    assert_eq!(deployment.program.wait_for_exit(), Some(0));
+    assert_eq!(deployment.front_node.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_killed_node_restarts_under_its_name_and_address() {
-    let mut deployment = Deployment::new(&ServerBehavior::Serving);
+    let mut deployment = start_deployment(&ServerBehavior::Serving);
     assert_eq!(deployment.client().send(&query("all", &[0], 2000).text).status, 200);
-    let address = deployment.program.address;
-    deployment.program.kill();
+    let address = deployment.front_node.address;
+    deployment.front_node.kill();
     let known = endpoint_list(1, &entries(&deployment.servers));
     let config = config_json(&address.to_string(), &deployment.discovery.address.to_string(), &known);
-    deployment.program = FrontNode::start_ready(NODE, &config);
-    assert_eq!(deployment.program.address, address);
+    deployment.front_node = FrontNode::start_ready(NODE, &config);
+    assert_eq!(deployment.front_node.address, address);
     assert_eq!(deployment.client().send(&query("all", &[0, 1, 2], 2000).text).status, 200);
 }
