--- a/crates/member/tests/rollout_faults.rs
+++ b/crates/member/tests/rollout_faults.rs
@@ -278,8 +278,8 @@
     view.servers.iter().any(|server| server.name == DRAINED_SERVER && server.phase.starts_with(phase))
 }
 
-/// Checks that `server` can't be drained because another index server is already
-/// unavailable and the budget is one.
+/// Checks that `server` can't be drained because another index server is already unavailable and the budget
+/// is one.
 fn assert_budget_is_used(fleet: &Fleet, server: &str, id: &str, member: u64) {
     let (code, output) = fleet.run_command(&["drain", server, "--id", id], member);
     assert!(code == Some(3) && output.contains("1 away of 1 allowed"), "{output}");
--- a/crates/node/src/deadline.rs
+++ b/crates/node/src/deadline.rs
@@ -5,8 +5,7 @@
 use tokio::task::yield_now;
 use tokio::time::{timeout_at, Instant};
 
-/// Waits for the future until the deadline. Returns its output, or `None` if the deadline
-/// passes first.
+/// Waits for the future until the deadline. Returns its output, or `None` if the deadline passes first.
 ///
 /// After a pause of this process, or a signal, the runtime may check its timers before it polls the
 /// sockets. The deadline has then passed, although data that arrived before it has not been read. The
--- a/crates/node/src/host/start_times.rs
+++ b/crates/node/src/host/start_times.rs
@@ -12,9 +12,9 @@
 //! of the youngest server in the first list.
 //!
 //! The wall clocks of the index servers may be stepped as well. A start time that is an hour ahead would keep
-//! the estimate an hour too high permanently, and all later starts would appear an hour too old. So a start that
-//! was not in the first list is not converted to a time earlier than [`MAX_NOTIFICATION_DELAY`] before the
-//! list in which it was missing.
+//! the estimate an hour too high permanently, and all later starts would appear an hour too old. So a start
+//! that was not in the first list is not converted to a time earlier than [`MAX_NOTIFICATION_DELAY`] before
+//! the list in which it was missing.
 
 use pinetrestle::interface::Micros;
 
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -41,8 +41,7 @@
 }
 
 impl ConnectionPools {
-    /// Creates pools without connections. `clock_origin` is the instant at which the host's clock
-    /// was at 0.
+    /// Creates pools without connections. `clock_origin` is the instant at which the host's clock was at 0.
     pub(crate) fn new(
         live_config: Rc<LiveConfig>,
         to_event_loop: mpsc::Sender<Message>,
--- a/crates/standins/src/server_behavior.rs
+++ b/crates/standins/src/server_behavior.rs
@@ -1,11 +1,9 @@
 //! How an index server answers calls, and the action on the connection that results for a call.
 
 use crate::received_part::ReceivedPart;
-use crate::shared::frame;
+use crate::shared::{frame, ANSWER_FRAME};
 use std::time::Duration;
 
-/// Type of a frame with the answer to a part, as the first byte of its body.
-pub(crate) const ANSWER_FRAME: u8 = b'5';
 /// Number of bytes that are left out at the end of an incomplete answer.
 const MISSING_BYTES: usize = 3;
 /// Number of invalid bytes that follow an answer under [`ServerBehavior::AppendingGarbage`].
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -1,7 +1,8 @@
 //! An index server that answers immediately, late, incorrectly or not at all.
 
 use crate::received_part::{parse_parts, ReceivedPart};
-use crate::server_behavior::{Action, ServerBehavior, ANSWER_FRAME};
+use crate::server_behavior::{Action, ServerBehavior};
+use crate::shared::{ANSWER_FRAME, CALL_FRAME, CANCEL_FRAME};
 use socket2::SockRef;
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,11 +13,6 @@
 /// Pause between two bytes of an answer under [`ServerBehavior::Trickling`].
 const TRICKLE_PAUSE: Duration = Duration::from_millis(20);
 
-/// Type of a frame with a call, as the first byte of its body.
-const CALL_FRAME: u8 = b'1';
-/// Type of a frame that cancels a part.
-const CANCEL_FRAME: u8 = b'2';
-
 /// State shared by all connections of an index server.
 struct State {
     behavior: ServerBehavior,
--- a/crates/standins/src/shared.rs
+++ b/crates/standins/src/shared.rs
@@ -1,5 +1,5 @@
-//! Functions used by several stand-ins and by tests: waiting for a condition, HTTP heads, frames, list
-//! entries.
+//! Functions and constants used by several stand-ins and by tests: waiting for a condition, HTTP heads, frames,
+//! list entries.
 
 use serde_json::{json, Value};
 use std::io::BufRead;
@@ -9,6 +9,13 @@
 /// Longest wait for a condition, a read or the exit of a process.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
+/// Type of a frame with a call, as the first byte of its body.
+pub(crate) const CALL_FRAME: u8 = b'1';
+/// Type of a frame that cancels a part.
+pub(crate) const CANCEL_FRAME: u8 = b'2';
+/// Type of a frame with the answer to a part.
+pub(crate) const ANSWER_FRAME: u8 = b'5';
+
 /// Polls a condition until it holds.
 ///
 /// # Panics
--- a/crates/standins/src/timestamping_server.rs
+++ b/crates/standins/src/timestamping_server.rs
@@ -8,7 +8,7 @@
 //! flight. New connections and frames wait in the kernel, as they do at a machine that hangs.
 
 use crate::received_part::{parse_parts, ReceivedPart};
-use crate::shared::frame;
+use crate::shared::{frame, ANSWER_FRAME, CALL_FRAME, CANCEL_FRAME};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{Read, Write};
@@ -263,12 +263,12 @@
     fn process_frame(&mut self, body: &[u8], connection: u64) {
         let read_at = Instant::now();
         let mut frame = ReceivedFrame { read_at, connection, parts: Vec::new(), cancelled: None };
-        if body[0] == b'2' {
+        if body[0] == CANCEL_FRAME {
             let id = String::from_utf8(body[1..].to_vec()).expect("a UTF-8 part id");
             self.cancel(&id);
             frame.cancelled = Some(id);
         } else {
-            assert_eq!(body[0], b'1');
+            assert_eq!(body[0], CALL_FRAME);
             frame.parts = parse_parts(&body[1..]);
             for part in &frame.parts {
                 self.begin(part, connection, read_at);
@@ -289,7 +289,7 @@
     /// Begins a part and schedules its answer, or rejects it if the server is draining.
     fn begin(&mut self, part: &ReceivedPart, connection: u64, now: Instant) {
         if self.profile.draining {
-            self.send(connection, &frame(b'5', format!("{} B 0 -\n", part.id).as_bytes()));
+            self.send(connection, &frame(ANSWER_FRAME, format!("{} B 0 -\n", part.id).as_bytes()));
             return;
         }
         let times = &self.profile.service_times;
@@ -308,7 +308,7 @@
         let id = &answer.id;
         if let Some(part) = self.in_flight.remove(id).filter(|part| !part.cancelled) {
             let text = format!("{id} S {} -\nvalue of {id}", answer.shard);
-            self.send(part.connection, &frame(b'5', text.as_bytes()));
+            self.send(part.connection, &frame(ANSWER_FRAME, text.as_bytes()));
         }
     }
 
