--- a/crates/standins/src/shared.rs
+++ b/crates/standins/src/shared.rs
@@ -1,5 +1,5 @@
-//! Functions and constants used by several stand-ins and by tests: waiting for a condition, HTTP heads, frames,
-//! list entries.
+//! Functions and constants used by several stand-ins and by tests: waiting for a condition, HTTP heads,
+//! frames, list entries.
 
 use serde_json::{json, Value};
 use std::io::BufRead;
