--- a/crates/member/tests/lease_faults.rs
+++ b/crates/member/tests/lease_faults.rs
@@ -28,6 +28,7 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
+use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -53,7 +54,9 @@
 async fn sink_address(log: &Path) -> SocketAddr {
     for _ in 0..200 {
         let text = std::fs::read_to_string(log).unwrap_or_default();
-        if let Some(addr) = text.lines().find_map(|l| l.strip_prefix("listening ")) {
+        // The sink writes the line in several parts, so a line without its line feed may be incomplete.
+        let mut lines = text.split_inclusive('\n').filter_map(|line| line.strip_suffix('\n'));
+        if let Some(addr) = lines.find_map(|line| line.strip_prefix("listening ")) {
             return addr.trim().parse().unwrap();
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -579,3 +582,36 @@
 fn late_record_of_a_member_that_had_not_acted_before_is_an_overlap() {
     left_out_after(STALL, &[(3, 184, STALL.before_stop_us, true), (3, 184, 3_005_000, false)]);
 }
+
+/// Returns what [`sink_address`] reads from a log that holds `start`, and from 100 ms later on also `rest`.
+fn address_in_growing_log(start: &str, rest: &'static str) -> SocketAddr {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("sink.log");
+    let mut log = std::fs::File::create(&path).unwrap();
+    log.write_all(start.as_bytes()).unwrap();
+    let writer = std::thread::spawn(move || {
+        std::thread::sleep(Duration::from_millis(100));
+        log.write_all(rest.as_bytes()).unwrap();
+    });
+    let addr = tokio::runtime::Runtime::new().unwrap().block_on(sink_address(&path));
+    writer.join().unwrap();
+    addr
+}
+
+#[test]
+fn sink_address_waits_for_the_rest_of_the_line() {
+    let addr = SocketAddr::from(([127, 0, 0, 1], 8099));
+    assert_eq!(address_in_growing_log("listening ", "127.0.0.1:8099\n"), addr);
+}
+
+#[test]
+fn sink_address_waits_for_the_rest_of_the_port() {
+    let addr = SocketAddr::from(([127, 0, 0, 1], 8099));
+    assert_eq!(address_in_growing_log("listening 127.0.0.1:80", "99\n"), addr);
+}
+
+#[test]
+#[should_panic(expected = "AddrParseError")]
+fn sink_address_panics_at_a_complete_line_without_an_address() {
+    address_in_growing_log("listening nowhere\n", "listening 127.0.0.1:8099\n");
+}
